--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -31,10 +31,10 @@
 import { HomePlanner } from './fleet/home-planner.js';
 import { KnowledgeExchange } from './fleet/knowledge-exchange.js';
 import { FleetPlace } from './fleet/place.js';
-import { PoisonDesk } from './requests/poison-desk.js';
+import { PoisonRegistry } from './requests/poison-registry.js';
 import { LessonBook } from './lessons.js';
 import { Prober } from './targets/prober.js';
-import { Reception } from './requests/reception.js';
+import { RequestHandler } from './requests/request-handler.js';
 import type { GatewaySettings } from './settings.js';
 import { type GatewayStatus, describeStatus, listGauges } from './status.js';
 import type { Coldness } from './targets/own-rates.js';
@@ -129,7 +129,7 @@
 
   readonly #targets: TargetSet;
 
-  readonly #poison: PoisonDesk;
+  readonly #poison: PoisonRegistry;
 
   readonly #callers: CallerServer;
 
@@ -139,7 +139,7 @@
 
   readonly #servers: Server[] = [];
 
-  readonly #reception: Reception;
+  readonly #reception: RequestHandler;
 
   #settings: GatewaySettings;
 
@@ -259,11 +259,11 @@
       },
       onShares: (from, shares) => this.#sharing.hear(from, shares),
       onDraining: (from, shares) => this.#sharing.takeDraining(from, shares),
-      onCases: (from, cases) => this.#poison.hear(from, cases),
+      onCases: (from, cases) => this.#poison.receive(from, cases),
     });
-    this.#poison = new PoisonDesk({
+    this.#poison = new PoisonRegistry({
       ...{ clock, log, metrics: this.#metrics },
-      isTrier: () => this.#place.isFirstHome(),
+      mayRunTrials: () => this.#place.isFirstHome(),
       send: (words) => {
         for (const { ip } of this.#roster.listHomes()) {
           if (ip !== gateway.ip) this.#link.sendCases(ip, words);
@@ -276,7 +276,7 @@
     });
     this.#exchange = new KnowledgeExchange({
       ...{ clock, self: gateway.ip, view: this.#view, roster: this.#roster, reader: this.#reader },
-      ...{ duty: this.#duty, feed: this.#feed, listCases: () => this.#poison.listToTell() },
+      ...{ duty: this.#duty, feed: this.#feed, listCases: () => this.#poison.listReports() },
     });
     this.#registry = new MemberRegistry({
       ...{ store, roster: this.#roster, clock, log, isFirstStart: isFirstStart(gateway) },
@@ -292,31 +292,31 @@
       isWriter: () => this.#place.isFirstHome(),
       listLessons: () => ({
         services: this.#targets.listLessons(),
-        routes: this.#reception.listLessons(),
+        routes: this.#reception.readLearnedState(),
         homes: this.#roster.wanted,
-        poison: this.#poison.listStored(),
+        poison: this.#poison.listForStore(),
       }),
       onFound: ({ services, routes, homes, poison }) => {
-        this.#poison.absorb(poison);
+        this.#poison.restore(poison);
         if (this.#roster.wanted < homes) this.#roster.setWanted(homes);
         this.#targets.absorb(services);
-        this.#reception.absorb(routes);
+        this.#reception.restoreLearnedState(routes);
       },
     });
     this.#turns = new TurnWatch({
       ...{ clock, log, metrics: this.#metrics, source: createTurnSource() },
       listenQueue: computeListenQueue(capacity),
     });
-    this.#reception = new Reception({
+    this.#reception = new RequestHandler({
       ...{ clock, random, log, targets: this.#targets, metrics: this.#metrics },
       poison: this.#poison,
-      ...{ turns: this.#turns, onBroken: (error: Error) => this.#fail(error) },
+      ...{ turns: this.#turns, onInvariantViolation: (error: Error) => this.#fail(error) },
       readTable: () => (this.#state === 'starting' ? undefined : this.#view.table),
     });
     this.#callers = new CallerServer({
       ...{ address: gateway.callers, clock, turns: this.#turns },
       listenQueue: computeListenQueue(capacity),
-      serve: (request, response, cameAt) => this.#reception.take(request, response, cameAt),
+      serve: (request, response, cameAt) => this.#reception.handle(request, response, cameAt),
     });
     this.#sharing = new LoadSharing({
       ...{ clock, targets: this.#targets, self: gateway.ip },
@@ -416,7 +416,7 @@
     }
     const left = this.#callers.countActive();
     this.#reception.close();
-    await this.#callers.closeResting();
+    await this.#callers.closeIdle();
     this.destroy();
     this.#log.info('gateway.stopped', { cut: left, took: Math.round(clock.now() - startedAt) });
   }
@@ -553,10 +553,10 @@
       lookups: this.#lookups,
       accepted: this.#callers.accepted,
       connections: this.#callers.countConnections(),
-      backlog: this.#reception.waiting,
+      backlog: this.#reception.backlogSize,
       unreadable: this.#reader.unreadable,
       evacuated: this.#view.evacuations.domains,
-      heldOut: this.#poison.heldOut,
+      heldOut: this.#poison.heldOutCount,
       probes: this.#prober.sent,
       opened: this.#targets.opened,
       storeCalls: this.kernel.find(kvStoreService).counts(),
--- a/src/gateway/requests/caller-server.ts
+++ b/src/gateway/requests/caller-server.ts
@@ -162,7 +162,7 @@
    * Closes connections at rest. A request that crosses the close is not passed on: its caller can
    * tell from the closed connection that it was not read.
    */
-  async closeResting(): Promise<void> {
+  async closeIdle(): Promise<void> {
     this.#closing = true;
     for (const [socket, active] of this.#sockets) {
       if (active === 0) socket.end();
--- a/src/gateway/requests/forwarding.ts
+++ b/src/gateway/requests/forwarding.ts
@@ -27,7 +27,7 @@
   startTargetAttempt,
 } from './attempt.js';
 import { RequestLog } from './request-log.js';
-import type { PoisonDesk } from './poison-desk.js';
+import type { PoisonRegistry } from './poison-registry.js';
 import type { RequestIdentity } from './request-identity.js';
 import type { PlaceCare, Refusal, SlotAnswer, SlotCall } from '../targets/slot-queue.js';
 import type { GatewayTarget } from '../targets/target.js';
@@ -66,7 +66,7 @@
   readonly counts: ForwardingCounts;
   readonly metrics: TextMetrics;
   /** Knows the requests under which targets end. */
-  readonly poison: PoisonDesk;
+  readonly poison: PoisonRegistry;
 }
 
 /** Counters over all requests. */
@@ -373,7 +373,7 @@
         target.noteFailure();
         this.#log.tellFailure(attempt, outcome.kind, outcome.reason, {
           ended: outcome.isEnded,
-          names: this.request.identity.names,
+          names: this.request.identity.fingerprints,
         });
         this.#noteLost(attempt, outcome.isEnded);
         this.#repeat('lost');
@@ -391,7 +391,7 @@
     const { poison, clock } = this.context;
     const { id, route, service, path, identity } = this.request;
     // What is kept for a while holds no body.
-    const lost = { id, route, service, path, names: identity.names };
+    const lost = { id, route, service, path, names: identity.fingerprints };
     const times = { startedAt, lostAt: clock.now() };
     if (isEnded) poison.noteEnd(lost, target, times);
     else target.noteLoss(() => poison.noteEnd(lost, target, times));
--- a/src/gateway/requests/caller-aims.ts
+++ b/src/gateway/requests/latency-budget.ts
@@ -85,7 +85,7 @@
 }
 
 /** The time that callers have, by route. */
-export class CallerAims {
+export class LatencyBudgets {
   readonly #routes = new Map<string, RouteCallers>();
 
   /**
--- a/src/gateway/requests/poison-desk.ts
+++ b/src/gateway/requests/poison-registry.ts
@@ -20,12 +20,12 @@
 import type { TargetService } from '../targets/target-service.js';
 
 /** What the desk is made from. */
-export interface PoisonDeskOptions {
+export interface PoisonRegistryOptions {
   readonly clock: Clock;
   readonly log: Log;
   readonly metrics: TextMetrics;
   /** Whether it falls to this daemon to try requests that are held out: one daemon does, so one target ends. */
-  readonly isTrier: () => boolean;
+  readonly mayRunTrials: () => boolean;
   /** Tells the homes. */
   readonly send: (words: readonly CaseWord[]) => void;
 }
@@ -70,7 +70,7 @@
 const MOST_STORED = 64;
 
 /** The desk of one daemon. */
-export class PoisonDesk {
+export class PoisonRegistry {
   readonly #record = new PoisonRecord();
 
   /** Until when a request is told of with every answer. */
@@ -82,28 +82,28 @@
   /** Where the next answer goes on to name those that are held out. */
   #turn = 0;
 
-  constructor(private readonly options: PoisonDeskOptions) {}
+  constructor(private readonly options: PoisonRegistryOptions) {}
 
   /** Says what may be done with a request that is to be sent. */
   judge(request: WatchedRequest): PoisonVerdict {
     if (!this.#mayKnow(request)) return { kind: 'clear' };
     const terms = this.#readTerms(request.service);
-    return request.identity.names
+    return request.identity.fingerprints
       .map((name) => this.#record.judge(name, terms))
       .reduce(joinVerdicts);
   }
 
   /** Notes that a suspect is sent to a target. */
   start({ id, identity }: WatchedRequest, target: GatewayTarget): void {
-    for (const name of identity.names) this.#record.start(name);
+    for (const name of identity.fingerprints) this.#record.start(name);
     const { incarnation, release } = target.record;
-    const [request] = identity.names;
+    const [request] = identity.fingerprints;
     this.options.log.info('poison.tried', { id, request, target: incarnation, release });
   }
 
   /** Notes that what was sent of a suspect has come to an end. */
   finish({ identity }: WatchedRequest): void {
-    for (const name of identity.names) this.#record.finish(name);
+    for (const name of identity.fingerprints) this.#record.finish(name);
   }
 
   /**
@@ -142,7 +142,7 @@
   noteAnswer(request: WatchedRequest): void {
     if (!this.#mayKnow(request)) return;
     const { clock, log } = this.options;
-    for (const name of request.identity.names) {
+    for (const name of request.identity.fingerprints) {
       const cleared = this.#record.noteAnswer(name, clock.now());
       if (cleared === undefined) continue;
       log.info('poison.cleared', { id: request.id, request: name });
@@ -151,7 +151,7 @@
   }
 
   /** Takes what another daemon tells. */
-  hear(from: string, words: readonly CaseWord[]): void {
+  receive(from: string, words: readonly CaseWord[]): void {
     const { clock, log } = this.options;
     const now = clock.now();
     for (const { request, ended, releases, age } of words) {
@@ -165,7 +165,7 @@
   }
 
   /** Lists what goes with every answer to another daemon. */
-  listToTell(): readonly CaseWord[] {
+  listReports(): readonly CaseWord[] {
     if (this.#record.isEmpty) return [];
     const now = this.options.clock.now();
     const told = new Map<string, PoisonCase>();
@@ -179,12 +179,12 @@
   }
 
   /** Requests that are held out. */
-  get heldOut(): number {
+  get heldOutCount(): number {
     return this.#record.isEmpty ? 0 : this.#record.listHeld().length;
   }
 
   /** Lists what the store is to keep: of those that are held out, the ones that lost a target last. */
-  listStored(): readonly PoisonLesson[] {
+  listForStore(): readonly PoisonLesson[] {
     if (this.#record.isEmpty) return [];
     const { clock } = this.options;
     const toWall = clock.wall() - clock.now();
@@ -197,21 +197,21 @@
   }
 
   /** Takes what the store kept. */
-  absorb(stored: readonly PoisonLesson[]): void {
+  restore(stored: readonly PoisonLesson[]): void {
     const { clock } = this.options;
     const words = stored.map(({ request, ended, releases, at }) => ({
       ...{ request, ended, releases, age: Math.max(0, clock.wall() - at) },
     }));
-    this.hear('store', words);
+    this.receive('store', words);
   }
 
   #mayKnow({ identity }: WatchedRequest): boolean {
     if (this.#record.isEmpty) return false;
-    return identity.heads.some((head) => this.#record.mayKnow(head));
+    return identity.headDigests.some((head) => this.#record.mayKnow(head));
   }
 
   #readTerms(service: TargetService): PoisonTerms {
-    const { clock, isTrier } = this.options;
+    const { clock, mayRunTrials: isTrier } = this.options;
     const { targets } = service;
     const releases = new Set<string>();
     for (const { record, isUsable } of targets.values()) {
--- a/src/gateway/requests/reception.ts
+++ b/src/gateway/requests/request-handler.ts
@@ -6,8 +6,8 @@
 import { type Route, type RouteTable, SplitDealer } from '../../routing/index.js';
 import { type Told, writeTold } from './answers.js';
 import { Backlog, type BacklogOptions } from './backlog.js';
-import { CallerAims } from './caller-aims.js';
-import { isCallerGone, watchLeaving } from './caller-leaving.js';
+import { LatencyBudgets } from './latency-budget.js';
+import { isCallerGone, watchLeaving } from './caller-disconnect.js';
 import {
   Forwarding,
   type ForwardingContext,
@@ -20,24 +20,24 @@
   buildTargetHeaders,
   checkRequest,
   readBody,
-} from './intake.js';
+} from './request-reader.js';
 import type { Lessons, RouteLesson } from '../lessons.js';
-import type { PoisonDesk } from './poison-desk.js';
+import type { PoisonRegistry } from './poison-registry.js';
 import { RequestIdentity } from './request-identity.js';
 import { RequestLog } from './request-log.js';
 import type { TargetSet } from '../targets/target-set.js';
 
 /** What the reception is made from. */
-export interface ReceptionOptions {
+export interface RequestHandlerOptions {
   readonly clock: Clock;
   readonly random: Random;
   readonly log: Log;
   readonly targets: TargetSet;
   readonly metrics: TextMetrics;
-  readonly poison: PoisonDesk;
+  readonly poison: PoisonRegistry;
   readonly turns: BacklogOptions['turns'];
   /** Called when a request met a broken invariant. */
-  readonly onBroken: (error: Error) => void;
+  readonly onInvariantViolation: (error: Error) => void;
   /** The configuration in force; undefined while this daemon may not serve by any. */
   readonly readTable: () => RouteTable | undefined;
 }
@@ -85,7 +85,7 @@
 }
 
 /** The reception of one daemon. */
-export class Reception {
+export class RequestHandler {
   /** Counters over all requests. */
   readonly counts: ForwardingCounts = {
     ...{ answered: 0, failed: 0, notRun: 0, unknown: 0, gone: 0, retries: 0, hedges: 0 },
@@ -95,7 +95,7 @@
 
   readonly #backlog: Backlog;
 
-  readonly #aims = new CallerAims();
+  readonly #aims = new LatencyBudgets();
 
   readonly #routeTimes = new Map<string, RouteTime>();
 
@@ -103,7 +103,7 @@
 
   #isClosed = false;
 
-  constructor(private readonly options: ReceptionOptions) {
+  constructor(private readonly options: RequestHandlerOptions) {
     this.#dealer = new SplitDealer(() => options.random.next());
     this.#backlog = new Backlog(options);
   }
@@ -114,7 +114,7 @@
   }
 
   /** Takes what others have learnt of routes. */
-  absorb(lessons: Lessons['routes']): void {
+  restoreLearnedState(lessons: Lessons['routes']): void {
     this.#lessons = lessons;
     for (const [name, routeTime] of this.#routeTimes) {
       const lesson = lessons[name];
@@ -123,12 +123,12 @@
   }
 
   /** Requests that were read and are not begun yet. */
-  get waiting(): number {
+  get backlogSize(): number {
     return this.#backlog.size;
   }
 
   /** What has been learnt here of routes. */
-  listLessons(): Lessons['routes'] {
+  readLearnedState(): Lessons['routes'] {
     const lessons: Record<string, RouteLesson> = {};
     for (const [name, routeTime] of this.#routeTimes) {
       if (!routeTime.isTaught) continue;
@@ -142,7 +142,7 @@
    *
    * @param cameAt when it is estimated to have come, on the clock
    */
-  take(request: IncomingMessage, response: ServerResponse, cameAt: number): void {
+  handle(request: IncomingMessage, response: ServerResponse, cameAt: number): void {
     const admission = this.#admit(request);
     if (admission.kind === 'turned-away') {
       this.#answer(request, response, admission);
@@ -158,7 +158,9 @@
       ...{ spread: routeTime.readSpread(), mayBeRefused: true },
       isGone: () => isCallerGone(request, response),
       begin: () => {
-        this.#serve(request, response, { ...admission, ...times }).catch(this.options.onBroken);
+        this.#serve(request, response, { ...admission, ...times }).catch(
+          this.options.onInvariantViolation,
+        );
       },
       refuse: (wait) => this.#refuse(response, { ...admission, ...times }, wait),
       drop: () => {
--- a/src/gateway/requests/request-identity.ts
+++ b/src/gateway/requests/request-identity.ts
@@ -40,7 +40,7 @@
   constructor(private readonly traits: RequestTraits) {}
 
   /** The parts of the names that stand for everything but the body. */
-  get heads(): readonly string[] {
+  get headDigests(): readonly string[] {
     if (this.#heads !== undefined) return this.#heads;
     const { method, host, path, caller } = this.traits;
     const [bare] = path.split('?', 1);
@@ -52,13 +52,13 @@
   }
 
   /** From the one that tells most to the widest. A body that is not held counts by its length. */
-  get names(): readonly string[] {
+  get fingerprints(): readonly string[] {
     if (this.#names !== undefined) return this.#names;
     const { body, bodyBytes } = this.traits;
     const tail = Buffer.isBuffer(body)
       ? hashParts(['held'], body)
       : hashParts(['streamed', `${bodyBytes}`]);
-    this.#names = this.heads.map((head) => head + tail);
+    this.#names = this.headDigests.map((head) => head + tail);
     return this.#names;
   }
 }
--- a/test/cold-targets.test.ts
+++ b/test/cold-targets.test.ts
@@ -64,7 +64,7 @@
   it('that has just started gets no more than it bears, from all daemons together', async () => {
     const other = await site.addTarget('alpha');
     other.slowdown = 700;
-    site.describeTarget(cold, { cold: 4000 });
+    site.putTarget(cold, { cold: 4000 });
     const first = await site.addGateway();
     const ips = [first, await site.addGateway([first]), await site.addGateway([first])];
     await pause(1800);
@@ -73,7 +73,7 @@
   }).timeout(15_000);
 
   it('that is the only one gets what it bears, and callers are told the truth', async () => {
-    site.describeTarget(cold, { cold: 60_000 });
+    site.putTarget(cold, { cold: 60_000 });
     const ip = await site.addGateway();
     await pause(1800);
     const statuses = await sendFor([ip], 2500);
@@ -101,7 +101,7 @@
   it('that turns cold again is spared once its entry says so', async () => {
     const ip = await site.addGateway();
     await sendFor([ip], 500);
-    site.describeTarget(cold, { cold: 60_000, seq: 2 });
+    site.putTarget(cold, { cold: 60_000, seq: 2 });
     await sendFor([ip], 800);
     const since = performance.now();
     await sendFor([ip], 2000);
@@ -122,7 +122,7 @@
 
   it('bears what its service does not limit', async () => {
     site.configure(RULES, { coldRate: 'many' });
-    site.describeTarget(cold, { cold: 60_000 });
+    site.putTarget(cold, { cold: 60_000 });
     const ip = await site.addGateway();
     await pause(500);
     await sendFor([ip], 500);
--- a/test/draining.test.ts
+++ b/test/draining.test.ts
@@ -75,7 +75,7 @@
     await letSay();
     const since = performance.now();
     for (let seq = 10; seq < 14; seq += 1) {
-      site.describeTarget(target, { seq });
+      site.putTarget(target, { seq });
       const replies = await sendFor(ips, 300);
       expect(replies.every(({ status }) => status === 200)).to.equal(true);
     }
@@ -141,11 +141,11 @@
     const since = performance.now();
     site.store.remove(KEYS.targets + target.incarnation);
     await sendFor(ips, 500);
-    site.describeTarget(target, { seq: 50 });
+    site.putTarget(target, { seq: 50 });
     await sendFor(ips, 1000);
     expect(countSince(since)).to.equal(0);
     target.draining = undefined;
-    site.describeTarget(target, { born: 1_700_000_000_000 });
+    site.putTarget(target, { born: 1_700_000_000_000 });
     await sendFor(ips, 1000);
     expect(countSince(since)).to.be.greaterThan(5);
   });
--- a/test/helpers/gateways.ts
+++ b/test/helpers/gateways.ts
@@ -93,12 +93,12 @@
   async addTarget(service = 'alpha', draft: TargetDraft = {}): Promise<SiteTarget> {
     const target = await new SiteTarget(`i-${this.targets.length + 1}`).start();
     this.targets.push(target);
-    this.describeTarget(target, { service, ...draft });
+    this.putTarget(target, { service, ...draft });
     return target;
   }
 
   /** Writes a target's entry. */
-  describeTarget(target: SiteTarget, draft: TargetDraft = {}): void {
+  putTarget(target: SiteTarget, draft: TargetDraft = {}): void {
     this.store.put(KEYS.targets + target.incarnation, writeTarget(target.address, draft));
   }
 
--- a/test/lessons.test.ts
+++ b/test/lessons.test.ts
@@ -7,8 +7,8 @@
   parseLessons,
   supersedes,
 } from '../src/gateway/lessons.js';
-import { PoisonDesk } from '../src/gateway/requests/poison-desk.js';
-import { Reception } from '../src/gateway/requests/reception.js';
+import { PoisonRegistry } from '../src/gateway/requests/poison-registry.js';
+import { RequestHandler } from '../src/gateway/requests/request-handler.js';
 import { TargetSet } from '../src/gateway/targets/target-set.js';
 import {
   ManualClock,
@@ -152,15 +152,15 @@
     expect(targets.listLessons()).to.deep.equal({});
     const log = createLineLog(clock, 'error', {}, { writableLength: 0, write: () => true });
     const metrics = new TextMetrics();
-    const reception = new Reception({
+    const reception = new RequestHandler({
       ...{ clock, random, targets, metrics, log, readTable: () => undefined },
       turns: { isAcceptingOn: false, accepted: 0, hidesWaits: false, atTurnEnd: () => undefined },
-      onBroken: () => undefined,
-      poison: new PoisonDesk({
-        ...{ clock, log, metrics, isTrier: () => true, send: () => undefined },
+      onInvariantViolation: () => undefined,
+      poison: new PoisonRegistry({
+        ...{ clock, log, metrics, mayRunTrials: () => true, send: () => undefined },
       }),
     });
-    reception.absorb(LESSONS.routes);
-    expect(reception.listLessons()).to.deep.equal({});
+    reception.restoreLearnedState(LESSONS.routes);
+    expect(reception.readLearnedState()).to.deep.equal({});
   });
 });
--- a/test/load.test.ts
+++ b/test/load.test.ts
@@ -14,7 +14,7 @@
   Standing,
 } from '../src/balance/index.js';
 import { chooseHomes } from '../src/gateway/fleet/address-choice.js';
-import { CallerAims } from '../src/gateway/requests/caller-aims.js';
+import { LatencyBudgets } from '../src/gateway/requests/latency-budget.js';
 import { type SlotAnswer, type SlotCall, SlotQueue } from '../src/gateway/targets/slot-queue.js';
 import { GatewayTarget } from '../src/gateway/targets/target.js';
 import { ManualClock, createLineLog, createSeededRandom } from '../src/kernel/index.js';
@@ -403,20 +403,20 @@
 describe('what is left of an aim', () => {
   const route = { name: 'r', targetLatency: 200 } as Route;
   it('counts what the caller spent before it sent the request', () => {
-    const aims = new CallerAims();
+    const aims = new LatencyBudgets();
     for (let count = 0; count < 3; count += 1) expect(aims.read(route, 1000, 0)).to.equal(184);
     expect(aims.read(route, 945, 1)).to.equal(129);
     expect(aims.read(route, NaN, 1)).to.equal(184);
   });
   // Callers count from their first try: who was sent back, or lost its connection, stays late.
   it('does not begin anew for a caller that returns', () => {
-    const aims = new CallerAims();
+    const aims = new LatencyBudgets();
     for (let count = 0; count < 3; count += 1) aims.read(route, 1000, 0);
     expect(aims.read(route, 600, 1)).to.equal(-216);
     expect(aims.read(route, 845, 1)).to.equal(29);
   });
   it('is not misled by one odd caller, and forgets what is stated no more', () => {
-    const aims = new CallerAims();
+    const aims = new LatencyBudgets();
     for (let count = 0; count < 3; count += 1) aims.read(route, 1000, 0);
     aims.read(route, 60_000, 1);
     expect(aims.read(route, 1000, 2)).to.equal(184);
@@ -435,7 +435,7 @@
   const drawPatience = () => 5541 * (0.85 + 0.15 * random.next());
 
   it('is nearly all of it at their first tries', () => {
-    const aims = new CallerAims();
+    const aims = new LatencyBudgets();
     for (let count = 0; count < 200; count += 1) aims.read(route, drawPatience(), count * 10);
     const left = Array.from({ length: 400 }, (_, count) =>
       aims.read(route, drawPatience(), 2000 + count * 10),
@@ -443,7 +443,7 @@
     expect(left.filter((it) => it < 200).length / left.length).to.be.below(0.1);
   });
   it('is less for those that return, also where these are many', () => {
-    const aims = new CallerAims();
+    const aims = new LatencyBudgets();
     for (let count = 0; count < 600; count += 1) {
       const spent = count % 3 === 0 ? 1500 : 0;
       aims.read(route, drawPatience() - spent, count * 10);
@@ -451,7 +451,7 @@
     expect(aims.read(route, 5541 * 0.85 - 1500, 6000)).to.be.below(0);
   });
   it('is exact where all are equally patient, also while half of them return', () => {
-    const aims = new CallerAims();
+    const aims = new LatencyBudgets();
     for (let count = 0; count < 200; count += 1) {
       aims.read(route, count % 2 === 0 ? 5541 : 4000, count * 10);
     }
--- a/test/poison-record.test.ts
+++ b/test/poison-record.test.ts
@@ -167,7 +167,7 @@
     ...{ body: Buffer.from('body'), bodyBytes: 4 },
   };
   const list = (changes: Partial<RequestTraits> = {}) =>
-    new RequestIdentity({ ...traits, ...changes }).names;
+    new RequestIdentity({ ...traits, ...changes }).fingerprints;
   const name = (changes: Partial<RequestTraits> = {}) => list(changes)[0];
   it('is nothing but method, host, path with its parameters, caller and body', () => {
     expect(name()).to.equal(name({ body: Buffer.from('body') }));
@@ -199,7 +199,7 @@
     expect(others).to.not.include.members([anyCaller]);
   });
   it('begins with what is known before the body', () => {
-    const { heads, names } = new RequestIdentity(traits);
+    const { headDigests: heads, fingerprints: names } = new RequestIdentity(traits);
     for (const [index, head] of heads.entries())
       expect(names[index].startsWith(head)).to.equal(true);
     expect(name({ body: Buffer.from('other') }).startsWith(heads[0])).to.equal(true);
