--- a/src/bin/gateway.ts
+++ b/src/bin/gateway.ts
@@ -6,7 +6,7 @@
   Kernel,
   type Log,
   clockService,
-  createLineLog,
+  createRateLimitedLog,
   createSystemClock,
   createSystemRandom,
   logService,
@@ -60,7 +60,7 @@
   const settings = readSettings(file, text);
   const { address, timeout } = settings.platform;
   const clock = createSystemClock();
-  const log = createLineLog(clock, settings.log.level, { vm: settings.gateway.name });
+  const log = createRateLimitedLog(clock, settings.log.level, { vm: settings.gateway.name });
   const kernel = new Kernel()
     .provide(clockService, clock)
     .provide(randomService, createSystemRandom())
--- a/src/config/manifest.ts
+++ b/src/config/manifest.ts
@@ -5,7 +5,7 @@
  * So a change and its audit record are one write, and neither can exist without the other. Records
  * are copied to keys of their own afterwards and only then leave the manifest (transactional outbox).
  */
-import type { Stored } from '../platform/index.js';
+import type { StoredValue } from '../platform/index.js';
 import { type Change, type Edit, type Hashes, applyEdits } from './change.js';
 
 /** Who accepted which change when. */
@@ -75,7 +75,7 @@
 }
 
 /** Reads a manifest from a stored item, or the empty one from none. */
-export function readManifest(item: Stored | undefined): Manifest {
+export function readManifest(item: StoredValue | undefined): Manifest {
   return item === undefined ? EMPTY_MANIFEST : parseManifest(item.value);
 }
 
--- a/src/config/service.ts
+++ b/src/config/service.ts
@@ -7,7 +7,7 @@
   type IniSection,
   type IniText,
   type Mistake,
-  type Values,
+  type FieldValues,
   checkSection,
   describeAddress,
   describeChoice,
@@ -74,18 +74,18 @@
 } as const;
 
 /** A pool of targets. */
-export interface PoolConfig extends Values<typeof poolFields> {
+export interface PoolConfig extends FieldValues<typeof poolFields> {
   readonly name: string;
   readonly targets: readonly Address[];
 }
 
 /** A class of work. */
-export interface ClassConfig extends Values<typeof classFields> {
+export interface ClassConfig extends FieldValues<typeof classFields> {
   readonly name: string;
 }
 
 /** A checked service. */
-export interface Service extends Values<typeof serviceFields> {
+export interface Service extends FieldValues<typeof serviceFields> {
   readonly name: string;
   readonly pools: readonly PoolConfig[];
   readonly classes: readonly ClassConfig[];
@@ -142,7 +142,7 @@
   readonly pools: PoolConfig[];
   readonly classes: ClassConfig[];
   readonly policies: Policy[];
-  base: Values<typeof serviceFields> | undefined;
+  base: FieldValues<typeof serviceFields> | undefined;
 }
 
 function checkPart(ini: IniText, section: IniSection, parts: Parts): void {
--- a/src/config/store.ts
+++ b/src/config/store.ts
@@ -1,6 +1,6 @@
 /** The configuration in the platform's service: drafts, acceptance, history. */
 import { type Clock, type Random, assertInvariant } from '../kernel/index.js';
-import type { Platform, Stored } from '../platform/index.js';
+import type { Platform, StoredValue } from '../platform/index.js';
 import type { Mistake } from '../settings/index.js';
 import {
   type Change,
@@ -61,7 +61,7 @@
 
 /** The head as read from the store. */
 export type HeadResult =
-  | { readonly kind: 'head'; readonly item: Stored | undefined; readonly manifest: Manifest }
+  | { readonly kind: 'head'; readonly item: StoredValue | undefined; readonly manifest: Manifest }
   | StoreDown;
 
 /** Texts of documents, or the reason why they cannot be had. */
--- a/src/entry/front.ts
+++ b/src/entry/front.ts
@@ -4,7 +4,7 @@
   type Kernel,
   type KeyPair,
   logService,
-  matchSecret,
+  matchesSecret,
   metricsService,
   networkService,
 } from '../kernel/index.js';
@@ -76,7 +76,7 @@
 
   function serveRelay(request: IncomingMessage, response: ServerResponse): void {
     const given = String(request.headers[RELAY_HEADER] ?? '');
-    if (matchSecret(given, security.peer_secret)) serveCall(request, response, true);
+    if (matchesSecret(given, security.peer_secret)) serveCall(request, response, true);
     else response.writeHead(FORBIDDEN).end();
   }
 
--- a/src/gateway/directory.ts
+++ b/src/gateway/directory.ts
@@ -1,7 +1,12 @@
 /** Small interfaces beside the callers': addresses to use, readiness, metrics. */
 import http from 'node:http';
-import { type Address, parsePath } from '../kernel/index.js';
-import { PATHS, type ResolveQuestion, encodeResolve, parseResolve } from '../platform/index.js';
+import { type Address, parseRequestUrl } from '../kernel/index.js';
+import {
+  PATHS,
+  type ResolveQuery,
+  encodeResolveResponse,
+  parseResolveQuery,
+} from '../platform/index.js';
 
 /** Starts a listener whose every answer is made at once from the path and query. */
 function serveAnswers(
@@ -9,7 +14,7 @@
   answer: (url: URL) => { readonly status: number; readonly body: string },
 ): Promise<http.Server> {
   const server = http.createServer({ keepAliveTimeout: 30_000 }, (request, response) => {
-    const url = parsePath(request.url);
+    const url = parseRequestUrl(request.url);
     const { status, body } = url === undefined ? BAD_REQUEST : answer(url);
     response.writeHead(status, {
       'Content-Type': 'application/json',
@@ -32,14 +37,14 @@
 /** Answers callers that ask which addresses to use, and for how many milliseconds. */
 export function serveDirectory(
   address: Address,
-  listAddresses: (question: ResolveQuestion) => readonly string[],
+  listAddresses: (question: ResolveQuery) => readonly string[],
   readTtl: () => number,
 ): Promise<http.Server> {
   return serveAnswers(address, (url) => {
     if (url.pathname !== PATHS.resolve) return NOT_FOUND;
-    const addresses = listAddresses(parseResolve(url.searchParams));
+    const addresses = listAddresses(parseResolveQuery(url.searchParams));
     if (addresses.length === 0) return UNAVAILABLE;
-    return { status: 200, body: encodeResolve(addresses, readTtl()) };
+    return { status: 200, body: encodeResolveResponse(addresses, readTtl()) };
   });
 }
 
--- a/src/gateway/turn-watch.ts
+++ b/src/gateway/event-loop-monitor.ts
@@ -33,41 +33,41 @@
 const PUT_OFF_TIME = 7500;
 
 /** The event loop as the watch sees it. */
-export interface TurnSource {
+export interface EventLoopSource {
   /** Returns for how long the loop has waited for something to happen since the start, in milliseconds. */
-  readonly readIdle: () => number;
+  readonly readIdleMs: () => number;
   /** Calls `action` at the end of this turn, after all that it has read. */
-  readonly atTurnEnd: (action: () => void) => void;
+  readonly scheduleAfterIteration: (action: () => void) => void;
 }
 
 /** Creates the source of this process's own event loop. */
-export function createTurnSource(): TurnSource {
+export function createEventLoopSource(): EventLoopSource {
   return {
-    readIdle: () => performance.eventLoopUtilization().idle,
-    atTurnEnd: (action) => {
+    readIdleMs: () => performance.eventLoopUtilization().idle,
+    scheduleAfterIteration: (action) => {
       setImmediate(action);
     },
   };
 }
 
 /** A moment on the loop's account: what was read then may have come since `earliest`. */
-export interface TurnMark {
+export interface AcceptMark {
   readonly earliest: number;
-  readonly idle: number;
+  readonly idleMs: number;
 }
 
 /** What the watch is made from. */
-export interface TurnWatchOptions {
+export interface EventLoopMonitorOptions {
   readonly clock: Clock;
   readonly log: Log;
   readonly metrics: TextMetrics;
-  readonly source: TurnSource;
+  readonly source: EventLoopSource;
   /** Connections that may wait to be accepted. */
   readonly listenQueue: number;
 }
 
 /** The watch of one daemon. */
-export class TurnWatch {
+export class EventLoopMonitor {
   #isInTurn = false;
 
   #earliest: number;
@@ -96,32 +96,32 @@
   /** When as many connections as may wait had been accepted without a pause. */
   #fullAt = -Infinity;
 
-  constructor(private readonly options: TurnWatchOptions) {
+  constructor(private readonly options: EventLoopMonitorOptions) {
     const now = options.clock.now();
     this.#acceptedAt = new Float64Array(options.listenQueue).fill(-Infinity);
     this.#earliest = now;
     this.#lookedAt = now;
     this.#endedAt = now;
-    this.#idleAtEnd = options.source.readIdle();
+    this.#idleAtEnd = options.source.readIdleMs();
   }
 
   /** Whether the last turn accepted a connection, so that others may wait. */
-  get isAcceptingOn(): boolean {
+  get mayHavePendingConnections(): boolean {
     return this.#runSince !== undefined;
   }
 
   /** Whether requests may come now whose callers have waited for a time that nothing here tells. */
-  get hidesWaits(): boolean {
+  get hasRecentListenOverflow(): boolean {
     return this.options.clock.now() - this.#fullAt < PUT_OFF_TIME;
   }
 
   /** Calls `action` at the end of this turn, after all that it has read. */
-  atTurnEnd(action: () => void): void {
-    this.options.source.atTurnEnd(action);
+  scheduleAfterIteration(action: () => void): void {
+    this.options.source.scheduleAfterIteration(action);
   }
 
   /** Notes that a connection is accepted now. */
-  noteAccept(): TurnMark {
+  recordAccept(): AcceptMark {
     this.#enter();
     this.#isAccepting = true;
     if (this.#runSince === undefined) this.#beginRun(this.#earliest);
@@ -133,7 +133,7 @@
       this.#fullAt = this.options.clock.now();
     }
     const earliest = Math.max(this.#runSince ?? this.#earliest, oldest);
-    return { earliest, idle: this.options.source.readIdle() };
+    return { earliest, idleMs: this.options.source.readIdleMs() };
   }
 
   /**
@@ -142,11 +142,11 @@
    * @param accepted when its connection was accepted, for the first request on it: until the loop has
    *   waited once more, that connection was not looked at since
    */
-  estimateArrival(accepted?: TurnMark): number {
+  estimateArrival(accepted?: AcceptMark): number {
     const now = this.options.clock.now();
     this.#enter();
     const wasLookedAt =
-      accepted === undefined || this.options.source.readIdle() - accepted.idle > LEAST_IDLE;
+      accepted === undefined || this.options.source.readIdleMs() - accepted.idleMs > LEAST_IDLE;
     const earliest = wasLookedAt ? this.#earliest : accepted.earliest;
     return (Math.min(earliest, now) + now) / 2;
   }
@@ -175,26 +175,26 @@
     const follow = () => {
       if (this.#isAccepting) {
         this.#isAccepting = false;
-        source.atTurnEnd(follow);
+        source.scheduleAfterIteration(follow);
         return;
       }
       this.#runSince = undefined;
     };
-    source.atTurnEnd(follow);
+    source.scheduleAfterIteration(follow);
   }
 
   #enter(): void {
     if (this.#isInTurn) return;
     this.#isInTurn = true;
     const { clock, source } = this.options;
-    const idle = source.readIdle() - this.#idleAtEnd;
+    const idle = source.readIdleMs() - this.#idleAtEnd;
     const lookedAt = this.#endedAt + Math.max(0, idle);
     this.#earliest = idle > LEAST_IDLE ? lookedAt : this.#lookedAt;
     this.#lookedAt = lookedAt;
-    source.atTurnEnd(() => {
+    source.scheduleAfterIteration(() => {
       this.#isInTurn = false;
       this.#endedAt = clock.now();
-      this.#idleAtEnd = source.readIdle();
+      this.#idleAtEnd = source.readIdleMs();
     });
   }
 }
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -21,7 +21,7 @@
   Roster,
   serveFeed,
 } from '../peering/index.js';
-import { type ResolveQuestion, kvStoreService } from '../platform/index.js';
+import { type ResolveQuery, kvStoreService } from '../platform/index.js';
 import type { RouteTable } from '../routing/index.js';
 import { FleetView, type NewsTimes, StoreReader, planNews } from '../view/index.js';
 import { chooseHomes } from './fleet/address-choice.js';
@@ -32,7 +32,7 @@
 import { KnowledgeExchange } from './fleet/knowledge-exchange.js';
 import { FleetPlace } from './fleet/place.js';
 import { PoisonRegistry } from './requests/poison-registry.js';
-import { LessonBook } from './lessons.js';
+import { LearnedStateStore } from './learned-state.js';
 import { Prober } from './targets/prober.js';
 import { RequestHandler } from './requests/request-handler.js';
 import type { GatewaySettings } from './settings.js';
@@ -40,7 +40,7 @@
 import type { Coldness } from './targets/own-rates.js';
 import { TargetSet } from './targets/target-set.js';
 import { TargetNews } from './targets/target-news.js';
-import { TurnWatch, createTurnSource } from './turn-watch.js';
+import { EventLoopMonitor, createEventLoopSource } from './event-loop-monitor.js';
 
 /** A view that was the newest this shortly ago is proven. */
 const PROVEN_FOR = 1500;
@@ -125,7 +125,7 @@
 
   readonly #registry: MemberRegistry;
 
-  readonly #lessons: LessonBook;
+  readonly #lessons: LearnedStateStore;
 
   readonly #targets: TargetSet;
 
@@ -147,7 +147,7 @@
 
   readonly #metrics = new TextMetrics();
 
-  readonly #turns: TurnWatch;
+  readonly #turns: EventLoopMonitor;
 
   #isRefreshing = false;
 
@@ -286,11 +286,11 @@
         this.#link.addSeeds(ips);
       },
     });
-    this.#lessons = new LessonBook({
+    this.#lessons = new LearnedStateStore({
       ...{ store, clock, log, isHome: () => this.#place.isHome() },
       isFirstStart: isFirstStart(gateway),
       isWriter: () => this.#place.isFirstHome(),
-      listLessons: () => ({
+      readLearnedState: () => ({
         services: this.#targets.listLessons(),
         routes: this.#reception.readLearnedState(),
         homes: this.#roster.wanted,
@@ -303,8 +303,8 @@
         this.#reception.restoreLearnedState(routes);
       },
     });
-    this.#turns = new TurnWatch({
-      ...{ clock, log, metrics: this.#metrics, source: createTurnSource() },
+    this.#turns = new EventLoopMonitor({
+      ...{ clock, log, metrics: this.#metrics, source: createEventLoopSource() },
       listenQueue: computeListenQueue(capacity),
     });
     this.#reception = new RequestHandler({
@@ -515,7 +515,7 @@
     this.#log.info('targets.changed', { changed: changes.length, revision });
   }
 
-  #listAddresses(question: ResolveQuestion): readonly string[] {
+  #listAddresses(question: ResolveQuery): readonly string[] {
     this.#lookups += 1;
     const { port } = this.#settings.gateway.callers;
     const homes = this.#roster.listHomes();
--- a/src/gateway/lessons.ts
+++ b/src/gateway/learned-state.ts
@@ -14,7 +14,7 @@
 import { KEYS, type KvStore } from '../platform/index.js';
 
 /** What is known of the targets of one service. */
-export interface ServiceLesson {
+export interface LearnedServiceState {
   /** Mean slowdown, that of slow targets, and how long a report lasts in milliseconds. */
   readonly mean: number;
   readonly slow: number;
@@ -24,7 +24,7 @@
 }
 
 /** What is known of the calls of one route. */
-export interface RouteLesson {
+export interface LearnedRouteState {
   /** Time of a call at a usual, idle target, in milliseconds. */
   readonly work: number;
   /** Most calls take no longer than this many times the expected time. */
@@ -32,23 +32,23 @@
 }
 
 /** A request under which targets ended, and which is held out. */
-export interface PoisonLesson extends BlamedRequest {
+export interface StoredPoisonRequest extends BlamedRequest {
   /** When the last of them ended, in milliseconds since 1970. */
   readonly at: number;
 }
 
 /** All lessons, by name of the service or route. */
-export interface Lessons {
-  readonly services: Readonly<Record<string, ServiceLesson>>;
-  readonly routes: Readonly<Record<string, RouteLesson>>;
+export interface LearnedState {
+  readonly services: Readonly<Record<string, LearnedServiceState>>;
+  readonly routes: Readonly<Record<string, LearnedRouteState>>;
   /** How many homes the load took. */
   readonly homes: number;
   /** Requests that are held out: after a loss of all power each of them would end targets anew. */
-  readonly poison: readonly PoisonLesson[];
+  readonly poison: readonly StoredPoisonRequest[];
 }
 
 /** The lessons of a daemon that has learnt nothing. */
-export const NO_LESSONS: Lessons = { services: {}, routes: {}, homes: 0, poison: [] };
+export const EMPTY_LEARNED_STATE: LearnedState = { services: {}, routes: {}, homes: 0, poison: [] };
 
 /** A figure that differs by less from the one written is no news. */
 const CHANGED = 0.3;
@@ -70,8 +70,8 @@
   return Object.fromEntries(Object.entries(value).filter(([, entry]) => isWhole(entry)));
 }
 
-function isPoison(value: unknown): value is PoisonLesson {
-  const { request, ended, releases, at } = (value ?? {}) as Partial<PoisonLesson>;
+function isPoison(value: unknown): value is StoredPoisonRequest {
+  const { request, ended, releases, at } = (value ?? {}) as Partial<StoredPoisonRequest>;
   if (typeof request !== 'string' || typeof at !== 'number') return false;
   if (!Array.isArray(ended) || !Array.isArray(releases)) return false;
   return (
@@ -81,22 +81,22 @@
 }
 
 /** Reads a record; what makes no sense is left out. */
-export function parseLessons(text: string): Lessons {
+export function parseLearnedState(text: string): LearnedState {
   try {
-    const value = JSON.parse(text) as Partial<Lessons> | null;
+    const value = JSON.parse(text) as Partial<LearnedState> | null;
     return {
-      services: filterEntries<ServiceLesson>(value?.services, SERVICE_FIELDS),
-      routes: filterEntries<RouteLesson>(value?.routes, ROUTE_FIELDS),
+      services: filterEntries<LearnedServiceState>(value?.services, SERVICE_FIELDS),
+      routes: filterEntries<LearnedRouteState>(value?.routes, ROUTE_FIELDS),
       homes: Number.isInteger(value?.homes) ? Math.max(0, value?.homes ?? 0) : 0,
       poison: Array.isArray(value?.poison) ? value.poison.filter(isPoison) : [],
     };
   } catch {
-    return NO_LESSONS;
+    return EMPTY_LEARNED_STATE;
   }
 }
 
 /** Writes a record. */
-export function formatLessons({ services, routes, homes, poison }: Lessons): string {
+export function formatLearnedState({ services, routes, homes, poison }: LearnedState): string {
   const round = (_key: string, value: unknown) =>
     typeof value === 'number' ? Math.round(value * 100) / 100 : value;
   const kept = Object.fromEntries(Object.entries(routes).slice(0, MOST_ROUTES));
@@ -112,14 +112,14 @@
 }
 
 /** Whether other requests are held out, or more targets have ended under one. */
-function hasPoisonChanged(next: Lessons['poison'], written: Lessons['poison']): boolean {
-  const name = ({ request, ended }: PoisonLesson) => `${request}/${ended.length}`;
+function hasPoisonChanged(next: LearnedState['poison'], written: LearnedState['poison']): boolean {
+  const name = ({ request, ended }: StoredPoisonRequest) => `${request}/${ended.length}`;
   const before = new Set(written.map(name));
   return next.length !== before.size || next.some((it) => !before.has(name(it)));
 }
 
 /** Whether something was learnt that the record does not tell, or tells quite differently. */
-export function supersedes(next: Lessons, written: Lessons): boolean {
+export function hasSignificantChange(next: LearnedState, written: LearnedState): boolean {
   return (
     hasChanged({ homes: written.homes }, { homes: next.homes }) ||
     hasPoisonChanged(next.poison, written.poison) ||
@@ -131,7 +131,7 @@
 }
 
 /** What the book is made from. */
-export interface LessonBookOptions {
+export interface LearnedStateStoreOptions {
   readonly store: KvStore;
   readonly clock: Clock;
   readonly log: Log;
@@ -142,17 +142,17 @@
   /** Whether calls meet at this daemon. */
   readonly isHome: () => boolean;
   /** What this daemon has learnt. */
-  readonly listLessons: () => Lessons;
-  readonly onFound: (lessons: Lessons) => void;
+  readonly readLearnedState: () => LearnedState;
+  readonly onFound: (lessons: LearnedState) => void;
 }
 
 /** Reads the record at the start and when calls begin to meet here, and keeps it while that is its duty. */
-export class LessonBook {
-  #written = NO_LESSONS;
+export class LearnedStateStore {
+  #written = EMPTY_LEARNED_STATE;
 
   #revision = 0;
 
-  constructor(private readonly options: LessonBookOptions) {}
+  constructor(private readonly options: LearnedStateStoreOptions) {}
 
   /** Reads and writes until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
@@ -169,27 +169,27 @@
   }
 
   async #read(isStale: boolean): Promise<void> {
-    const answer = await this.options.store.readItem(KEYS.lessons, isStale);
+    const answer = await this.options.store.readItem(KEYS.learnedState, isStale);
     if (answer.kind !== 'item' || answer.item.revision < this.#revision) return;
     this.#revision = answer.item.revision;
-    this.#written = parseLessons(answer.item.text);
+    this.#written = parseLearnedState(answer.item.text);
     this.options.onFound(this.#written);
   }
 
   async #write(): Promise<void> {
-    const { store, log, listLessons } = this.options;
+    const { store, log, readLearnedState: listLessons } = this.options;
     const learnt = listLessons();
-    if (!supersedes(learnt, this.#written)) return;
+    if (!hasSignificantChange(learnt, this.#written)) return;
     const lessons = {
       services: { ...this.#written.services, ...learnt.services },
       routes: { ...learnt.routes, ...this.#written.routes, ...learnt.routes },
       ...{ homes: learnt.homes, poison: learnt.poison },
     };
-    const text = formatLessons(lessons);
-    const written = await store.write({ key: KEYS.lessons, text, expected: this.#revision });
+    const text = formatLearnedState(lessons);
+    const written = await store.write({ key: KEYS.learnedState, text, expected: this.#revision });
     log.info('lessons.written', { outcome: written.kind, bytes: text.length });
     if (written.kind === 'done') {
-      this.#written = parseLessons(text);
+      this.#written = parseLearnedState(text);
       this.#revision = written.revision;
       return;
     }
--- a/src/gateway/requests/backlog.ts
+++ b/src/gateway/requests/backlog.ts
@@ -13,7 +13,7 @@
  */
 import { DecayingMean, type LineCall, QuantileEstimate, WaitLine } from '../../balance/index.js';
 import type { Clock, Random } from '../../kernel/index.js';
-import type { TurnWatch } from '../turn-watch.js';
+import type { EventLoopMonitor } from '../event-loop-monitor.js';
 
 /** A request that was read. Times are on the clock, in milliseconds. */
 export interface BacklogCall extends LineCall {
@@ -32,7 +32,10 @@
 export interface BacklogOptions {
   readonly clock: Pick<Clock, 'now'>;
   readonly random: Random;
-  readonly turns: Pick<TurnWatch, 'isAcceptingOn' | 'accepted' | 'hidesWaits' | 'atTurnEnd'>;
+  readonly turns: Pick<
+    EventLoopMonitor,
+    'mayHavePendingConnections' | 'accepted' | 'hasRecentListenOverflow' | 'scheduleAfterIteration'
+  >;
 }
 
 /**
@@ -120,14 +123,14 @@
     this.#isScheduled = true;
     let startedAt = 0;
     let begun = 0;
-    this.options.turns.atTurnEnd(() => {
+    this.options.turns.scheduleAfterIteration(() => {
       this.#isScheduled = false;
       startedAt = this.options.clock.now();
       begun = this.#serve(startedAt);
       this.#schedule();
     });
     // Runs after all that the requests begun do at once.
-    this.options.turns.atTurnEnd(() => {
+    this.options.turns.scheduleAfterIteration(() => {
       if (begun > 0) this.#cost.add((this.options.clock.now() - startedAt) / begun);
     });
   }
@@ -142,7 +145,8 @@
     const fresh = this.#fresh;
     this.#fresh = new Set();
     const { turns } = this.options;
-    if (turns.isAcceptingOn && turns.accepted - this.#acceptedBefore < READING_COUNT) return 0;
+    if (turns.mayHavePendingConnections && turns.accepted - this.#acceptedBefore < READING_COUNT)
+      return 0;
     this.#acceptedBefore = turns.accepted;
     const batch = this.#countBatch();
     let begun = 0;
@@ -153,7 +157,8 @@
         continue;
       }
       if (begun >= batch) break;
-      if (fresh.has(call) && (turns.hidesWaits || now - call.cameAt > LOOK_AGAIN)) continue;
+      if (fresh.has(call) && (turns.hasRecentListenOverflow || now - call.cameAt > LOOK_AGAIN))
+        continue;
       this.#line.remove(call);
       call.begin();
       begun += 1;
--- a/src/gateway/requests/caller-server.ts
+++ b/src/gateway/requests/caller-server.ts
@@ -3,13 +3,13 @@
 import type { Socket } from 'node:net';
 import type { Address, Clock } from '../../kernel/index.js';
 import type { RequestLimits } from '../../routing/index.js';
-import type { TurnMark, TurnWatch } from '../turn-watch.js';
+import type { AcceptMark, EventLoopMonitor } from '../event-loop-monitor.js';
 
 /** What the listener is made from. */
 export interface CallerServerOptions {
   readonly address: Address;
   readonly clock: Clock;
-  readonly turns: TurnWatch;
+  readonly turns: EventLoopMonitor;
   /** Connections that may wait to be accepted. */
   readonly listenQueue: number;
   /** `cameAt` is when the request is estimated to have come, on the clock. */
@@ -77,7 +77,7 @@
   readonly #closers = new WeakMap<Socket, ServerResponse>();
 
   /** When connections were accepted that have not carried a request yet. */
-  readonly #accepted = new WeakMap<Socket, TurnMark>();
+  readonly #accepted = new WeakMap<Socket, AcceptMark>();
 
   /** Bytes that had been read from a connection when its last request ended. */
   readonly #bytesAtRest = new WeakMap<Socket, number>();
@@ -97,7 +97,7 @@
       this.#sockets.set(socket, 0);
       // Each request that came behind another one listens for the caller's leaving.
       socket.setMaxListeners(0);
-      this.#accepted.set(socket, options.turns.noteAccept());
+      this.#accepted.set(socket, options.turns.recordAccept());
       this.accepted += 1;
       socket.on('close', () => this.#sockets.delete(socket));
     });
--- a/src/gateway/requests/poison-registry.ts
+++ b/src/gateway/requests/poison-registry.ts
@@ -14,7 +14,7 @@
 } from '../../balance/index.js';
 import type { Clock, Log, TextMetrics } from '../../kernel/index.js';
 import type { CaseWord } from '../../peering/index.js';
-import type { PoisonLesson } from '../lessons.js';
+import type { StoredPoisonRequest } from '../learned-state.js';
 import type { RequestIdentity } from './request-identity.js';
 import { type GatewayTarget, readRelease } from '../targets/target.js';
 import type { TargetService } from '../targets/target-service.js';
@@ -184,7 +184,7 @@
   }
 
   /** Lists what the store is to keep: of those that are held out, the ones that lost a target last. */
-  listForStore(): readonly PoisonLesson[] {
+  listForStore(): readonly StoredPoisonRequest[] {
     if (this.#record.isEmpty) return [];
     const { clock } = this.options;
     const toWall = clock.wall() - clock.now();
@@ -197,7 +197,7 @@
   }
 
   /** Takes what the store kept. */
-  restore(stored: readonly PoisonLesson[]): void {
+  restore(stored: readonly StoredPoisonRequest[]): void {
     const { clock } = this.options;
     const words = stored.map(({ request, ended, releases, at }) => ({
       ...{ request, ended, releases, age: Math.max(0, clock.wall() - at) },
--- a/src/gateway/requests/request-handler.ts
+++ b/src/gateway/requests/request-handler.ts
@@ -21,7 +21,7 @@
   checkRequest,
   readBody,
 } from './request-reader.js';
-import type { Lessons, RouteLesson } from '../lessons.js';
+import type { LearnedState, LearnedRouteState } from '../learned-state.js';
 import type { PoisonRegistry } from './poison-registry.js';
 import { RequestIdentity } from './request-identity.js';
 import { RequestLog } from './request-log.js';
@@ -99,7 +99,7 @@
 
   readonly #routeTimes = new Map<string, RouteTime>();
 
-  #lessons: Lessons['routes'] = {};
+  #lessons: LearnedState['routes'] = {};
 
   #isClosed = false;
 
@@ -114,7 +114,7 @@
   }
 
   /** Takes what others have learnt of routes. */
-  restoreLearnedState(lessons: Lessons['routes']): void {
+  restoreLearnedState(lessons: LearnedState['routes']): void {
     this.#lessons = lessons;
     for (const [name, routeTime] of this.#routeTimes) {
       const lesson = lessons[name];
@@ -128,8 +128,8 @@
   }
 
   /** What has been learnt here of routes. */
-  readLearnedState(): Lessons['routes'] {
-    const lessons: Record<string, RouteLesson> = {};
+  readLearnedState(): LearnedState['routes'] {
+    const lessons: Record<string, LearnedRouteState> = {};
     for (const [name, routeTime] of this.#routeTimes) {
       if (!routeTime.isTaught) continue;
       lessons[name] = { work: routeTime.readWork(), spread: routeTime.readSpread() };
--- a/src/gateway/targets/connections.ts
+++ b/src/gateway/targets/connections.ts
@@ -6,7 +6,7 @@
  */
 import http from 'node:http';
 import net from 'node:net';
-import { type Address, type Clock, scheduleFairly } from '../../kernel/index.js';
+import { type Address, type Clock, scheduleLagTolerantTimeout } from '../../kernel/index.js';
 
 /** An open connection to a target. */
 export interface TargetConnection {
@@ -132,7 +132,9 @@
     return new Promise((resolve) => {
       const { host, port } = this.address;
       const socket = net.connect({ host, port, noDelay: true });
-      const timer = scheduleFairly(CONNECT_TIMEOUT, () => socket.destroy(new Error('timeout')));
+      const timer = scheduleLagTolerantTimeout(CONNECT_TIMEOUT, () =>
+        socket.destroy(new Error('timeout')),
+      );
       let reason = 'closed';
       socket.on('error', (error: NodeJS.ErrnoException) => {
         reason = error.code ?? error.message;
--- a/src/gateway/targets/prober.ts
+++ b/src/gateway/targets/prober.ts
@@ -2,7 +2,7 @@
 import http from 'node:http';
 import { recallPair } from '../../balance/home.js';
 import { computeProbeInterval } from '../../balance/index.js';
-import { type Clock, scheduleFairly } from '../../kernel/index.js';
+import { type Clock, scheduleLagTolerantTimeout } from '../../kernel/index.js';
 import { decodeSelfReport } from '../../platform/index.js';
 import { BUSY } from '../../peering/index.js';
 import type { RouteTable } from '../../routing/index.js';
@@ -324,7 +324,7 @@
   ): Promise<http.IncomingMessage | undefined> {
     return new Promise((resolve) => {
       const request = http.request({ agent, method: 'GET', path, headers: { host: 'health' } });
-      const timer = scheduleFairly(TIMEOUT, () => socket.destroy());
+      const timer = scheduleLagTolerantTimeout(TIMEOUT, () => socket.destroy());
       const conclude = (answer: http.IncomingMessage | undefined) => {
         timer.cancel();
         resolve(answer);
--- a/src/gateway/targets/target-service.ts
+++ b/src/gateway/targets/target-service.ts
@@ -14,7 +14,7 @@
   choosePlace,
   drawCandidates,
 } from '../../balance/index.js';
-import type { ServiceLesson } from '../lessons.js';
+import type { LearnedServiceState } from '../learned-state.js';
 import { type Coldness, OwnRates } from './own-rates.js';
 import { type PlaceWish, SlotQueue } from './slot-queue.js';
 import { type GatewayTarget, readRelease } from './target.js';
@@ -123,13 +123,13 @@
   }
 
   /** What others may start from; undefined before enough was seen here. */
-  readLesson(): ServiceLesson | undefined {
+  readLesson(): LearnedServiceState | undefined {
     if (!this.memory.isTaught) return undefined;
     return { ...this.readPattern(), knee: this.knee.readFactor() };
   }
 
   /** Takes what others have learnt, until enough was seen here. */
-  absorb(lesson: ServiceLesson): void {
+  absorb(lesson: LearnedServiceState): void {
     this.memory.absorb(lesson);
     this.knee.absorb(lesson.knee);
   }
--- a/src/gateway/targets/target-set.ts
+++ b/src/gateway/targets/target-set.ts
@@ -1,6 +1,6 @@
 /** The targets in use, by service, kept in step with the view. */
 import type { FleetView } from '../../view/index.js';
-import type { Lessons, ServiceLesson } from '../lessons.js';
+import type { LearnedState, LearnedServiceState } from '../learned-state.js';
 import { StandingBook } from './standing-book.js';
 import { GatewayTarget } from './target.js';
 import type { TargetListener } from './target-news.js';
@@ -20,7 +20,7 @@
 
   readonly #byHash = new Map<number, GatewayTarget>();
 
-  #lessons: Lessons['services'] = {};
+  #lessons: LearnedState['services'] = {};
 
   /** Services without a target that takes calls. */
   readonly #deserted = new Set<TargetService>();
@@ -46,7 +46,7 @@
   }
 
   /** Takes what others have learnt of services. */
-  absorb(lessons: Lessons['services']): void {
+  absorb(lessons: LearnedState['services']): void {
     this.#lessons = lessons;
     for (const [name, service] of this.#services) {
       const lesson = lessons[name];
@@ -55,8 +55,8 @@
   }
 
   /** What has been learnt here of services. */
-  listLessons(): Lessons['services'] {
-    const lessons: Record<string, ServiceLesson> = {};
+  listLessons(): LearnedState['services'] {
+    const lessons: Record<string, LearnedServiceState> = {};
     for (const [name, service] of this.#services) {
       const lesson = service.readLesson();
       if (lesson !== undefined) lessons[name] = lesson;
--- a/src/gateway/targets/target.ts
+++ b/src/gateway/targets/target.ts
@@ -18,9 +18,9 @@
 import type {
   LoadReport,
   SelfReport,
-  StatedBackoff,
-  StatedDraining,
-  StatedRate,
+  ReportedBackoff,
+  ReportedDraining,
+  ReportedRate,
   TargetRecord,
 } from '../../platform/index.js';
 import type { LoadShare } from '../../peering/index.js';
@@ -317,7 +317,7 @@
   }
 
   /** Takes whether an answer says that the target drains. */
-  noteDraining(stated: StatedDraining): void {
+  noteDraining(stated: ReportedDraining): void {
     const { listener } = this.options;
     if (stated.kind === 'unreadable') {
       listener.onUnreadable(this, { field: 'draining', what: stated.text });
@@ -335,7 +335,7 @@
     this.options.listener.onDraining(this, from ?? 'target', this.clock.now() - at);
   }
 
-  #noteBackoff(stated: StatedBackoff): void {
+  #noteBackoff(stated: ReportedBackoff): void {
     const { listener } = this.options;
     if (stated.kind === 'unreadable') {
       listener.onUnreadable(this, { field: 'backoff', what: stated.text });
@@ -369,7 +369,7 @@
    * @param askedAt when the call was sent: an answer that names no rate was made after that, and nothing else is known
    *   of when, so it ends no rate that was named since
    */
-  #noteRate(stated: StatedRate, askedAt: number): void {
+  #noteRate(stated: ReportedRate, askedAt: number): void {
     switch (stated.kind) {
       case 'named':
         this.#takeRate({ rate: stated.rate, at: this.clock.now() });
--- a/src/kernel/clock.ts
+++ b/src/kernel/clock.ts
@@ -1,6 +1,6 @@
 /** Time as a kernel service, so that a test or a test bench can replace it. */
 import os from 'node:os';
-import { nameService } from './kernel.js';
+import { createServiceKey } from './kernel.js';
 import { SuspensionMeter, type TimeSources } from './suspension.js';
 
 /** A pending timer. */
@@ -25,7 +25,7 @@
 }
 
 /** The name of the time service. */
-export const clockService = nameService<Clock>('clock');
+export const clockService = createServiceKey<Clock>('clock');
 
 /** Resolves after `delay` on the given scheduler, or when `signal` aborts, whichever is first. */
 export function sleepOn(
--- a/src/kernel/http-exchange.ts
+++ b/src/kernel/http-exchange.ts
@@ -2,11 +2,11 @@
 import http from 'node:http';
 import { promisify } from 'node:util';
 import { gunzip } from 'node:zlib';
-import { scheduleFairly } from './fair-timer.js';
+import { scheduleLagTolerantTimeout } from './lag-tolerant-timeout.js';
 import type { Address } from './network.js';
 
 /** What to send. */
-export interface HttpQuestion {
+export interface HttpExchangeOptions {
   readonly agent: http.Agent;
   readonly address: Address;
   readonly method: 'GET' | 'POST';
@@ -33,7 +33,7 @@
 }
 
 /** How long answers between daemons are packed. */
-export const PACKING = 'gzip';
+export const PEER_CONTENT_ENCODING = 'gzip';
 
 /** Longest answer that is unpacked, in bytes: many times the list of a large fleet. */
 const MOST_UNPACKED = 67_108_864;
@@ -41,7 +41,7 @@
 const startGunzip = promisify(gunzip);
 
 async function decodeBytes(response: http.IncomingMessage, bytes: Buffer): Promise<Buffer> {
-  if (response.headers['content-encoding'] !== PACKING) return bytes;
+  if (response.headers['content-encoding'] !== PEER_CONTENT_ENCODING) return bytes;
   return startGunzip(bytes, { maxOutputLength: MOST_UNPACKED });
 }
 
@@ -63,7 +63,7 @@
 }
 
 /** Makes the exchange. A connection whose answer did not come carries nothing further. */
-export function exchangeHttp(question: HttpQuestion): Promise<HttpReply | HttpFailure> {
+export function exchangeHttp(question: HttpExchangeOptions): Promise<HttpReply | HttpFailure> {
   const { agent, address, method, path, body, timeout, signal } = question;
   return new Promise((resolve, reject) => {
     let sent = false;
@@ -74,7 +74,7 @@
           ? {}
           : { 'content-type': 'application/json', 'content-length': Buffer.byteLength(body) },
     });
-    const timer = scheduleFairly(timeout, () => request.destroy(new Error('timeout')));
+    const timer = scheduleLagTolerantTimeout(timeout, () => request.destroy(new Error('timeout')));
     const conclude = (outcome: HttpReply | HttpFailure) => {
       timer.cancel();
       resolve(outcome);
--- a/src/kernel/index.ts
+++ b/src/kernel/index.ts
@@ -2,7 +2,7 @@
 export * from './kernel.js';
 export * from './clock.js';
 export * from './suspension.js';
-export * from './fair-timer.js';
+export * from './lag-tolerant-timeout.js';
 export * from './random.js';
 export * from './network.js';
 export * from './log-format.js';
@@ -11,6 +11,6 @@
 export * from './secret.js';
 export * from './http-exchange.js';
 export * from './json.js';
-export * from './request-path.js';
-export * from './line-log.js';
+export * from './request-url.js';
+export * from './rate-limited-log.js';
 export * from './text-metrics.js';
--- a/src/kernel/kernel.ts
+++ b/src/kernel/kernel.ts
@@ -6,15 +6,15 @@
  */
 
 /** A name under which a service of type `T` is registered. */
-export interface ServiceName<T> {
-  readonly text: string;
+export interface ServiceKey<T> {
+  readonly name: string;
   /** Carries the service's type; it has no value at run time. */
   readonly type?: T;
 }
 
 /** Names a service. Two names are the same service when their texts are equal. */
-export function nameService<T>(text: string): ServiceName<T> {
-  return { text };
+export function createServiceKey<T>(text: string): ServiceKey<T> {
+  return { name: text };
 }
 
 /** A broken invariant: a fault in this program, never in its input. It stops the process. */
@@ -32,20 +32,20 @@
   readonly #services = new Map<string, unknown>();
 
   /** Registers `service` under `name`; a name can be registered once. */
-  provide<T>(name: ServiceName<T>, service: T): this {
-    assertInvariant(!this.#services.has(name.text), `service "${name.text}" is registered twice`);
-    this.#services.set(name.text, service);
+  provide<T>(name: ServiceKey<T>, service: T): this {
+    assertInvariant(!this.#services.has(name.name), `service "${name.name}" is registered twice`);
+    this.#services.set(name.name, service);
     return this;
   }
 
   /** Returns the service registered under `name`; a missing one is a broken invariant. */
-  find<T>(name: ServiceName<T>): T {
-    assertInvariant(this.#services.has(name.text), `no service is registered as "${name.text}"`);
-    return this.#services.get(name.text) as T;
+  find<T>(name: ServiceKey<T>): T {
+    assertInvariant(this.#services.has(name.name), `no service is registered as "${name.name}"`);
+    return this.#services.get(name.name) as T;
   }
 
   /** Tells whether a service is registered under `name`. */
-  has<T>(name: ServiceName<T>): boolean {
-    return this.#services.has(name.text);
+  has<T>(name: ServiceKey<T>): boolean {
+    return this.#services.has(name.name);
   }
 }
--- a/src/kernel/fair-timer.ts
+++ b/src/kernel/lag-tolerant-timeout.ts
@@ -9,7 +9,7 @@
 import type { Timer } from './clock.js';
 
 /** Calls `action` after `delay` milliseconds, unless what comes until then, or is read then, cancels it. */
-export function scheduleFairly(delay: number, action: () => void): Timer {
+export function scheduleLagTolerantTimeout(delay: number, action: () => void): Timer {
   let look: NodeJS.Immediate | undefined;
   const timer = setTimeout(() => {
     look = setImmediate(action);
--- a/src/kernel/log-format.ts
+++ b/src/kernel/log-format.ts
@@ -1,5 +1,5 @@
 /** What a log is, and how an event becomes a line: key=value pairs. */
-import { nameService } from './kernel.js';
+import { createServiceKey } from './kernel.js';
 
 /** A value that can stand in a log line. */
 export type LogValue = string | number | boolean | undefined;
@@ -16,7 +16,7 @@
 }
 
 /** The name of the logging service. */
-export const logService = nameService<Log>('log');
+export const logService = createServiceKey<Log>('log');
 
 /** The levels that can be set, from the quietest. */
 export const LOG_LEVELS = ['silent', 'error', 'warn', 'info', 'debug'] as const;
--- a/src/kernel/metrics.ts
+++ b/src/kernel/metrics.ts
@@ -1,6 +1,6 @@
 /** Metrics as a kernel service, sent as StatsD datagrams by `hot-shots`. */
 import { StatsD } from 'hot-shots';
-import { nameService } from './kernel.js';
+import { createServiceKey } from './kernel.js';
 import type { Address } from './network.js';
 
 /** Tags of a metric, such as the service it belongs to. */
@@ -19,7 +19,7 @@
 }
 
 /** The name of the metrics service. */
-export const metricsService = nameService<Metrics>('metrics');
+export const metricsService = createServiceKey<Metrics>('metrics');
 
 /** Creates metrics that are dropped. */
 export function createSilentMetrics(): Metrics {
--- a/src/kernel/network.ts
+++ b/src/kernel/network.ts
@@ -2,7 +2,7 @@
 import net from 'node:net';
 import tls from 'node:tls';
 import { Duplex } from 'node:stream';
-import { nameService } from './kernel.js';
+import { createServiceKey } from './kernel.js';
 
 /** An IP address with a port. */
 export interface Address {
@@ -40,7 +40,7 @@
 }
 
 /** The name of the socket service. */
-export const networkService = nameService<Network>('network');
+export const networkService = createServiceKey<Network>('network');
 
 /** Writes an address as `host:port`. */
 export function formatAddress(address: Address): string {
--- a/src/kernel/random.ts
+++ b/src/kernel/random.ts
@@ -1,6 +1,6 @@
 /** Randomness as a kernel service, so that a run can be repeated from its seed. */
 import { randomBytes } from 'node:crypto';
-import { nameService } from './kernel.js';
+import { createServiceKey } from './kernel.js';
 
 /** The randomness service. */
 export interface Random {
@@ -11,7 +11,7 @@
 }
 
 /** The name of the randomness service. */
-export const randomService = nameService<Random>('random');
+export const randomService = createServiceKey<Random>('random');
 
 const ID_BYTES = 12;
 
--- a/src/kernel/line-log.ts
+++ b/src/kernel/rate-limited-log.ts
@@ -16,17 +16,17 @@
 }
 
 /** Where lines go, such as standard output. */
-export interface LineSink {
+export interface LogSink {
   readonly writableLength: number;
   write(text: string): boolean;
 }
 
 /** Creates the log. Each event has its own allowance; a line that follows dropped ones counts them. */
-export function createLineLog(
+export function createRateLimitedLog(
   clock: Clock,
   level: LogLevel,
   base: LogFields,
-  sink: LineSink = process.stdout,
+  sink: LogSink = process.stdout,
 ): Log {
   const allowances = new Map<string, Allowance>();
   const lowest = LOG_LEVELS.indexOf(level);
--- a/src/kernel/secret.ts
+++ b/src/kernel/secret.ts
@@ -2,7 +2,7 @@
 import { createHash, timingSafeEqual } from 'node:crypto';
 
 /** Tells whether two secrets are equal. */
-export function matchSecret(given: string, secret: string): boolean {
+export function matchesSecret(given: string, secret: string): boolean {
   const digest = (text: string) => createHash('sha256').update(text).digest();
   return timingSafeEqual(digest(given), digest(secret));
 }
--- a/src/once/claims.ts
+++ b/src/once/claims.ts
@@ -8,7 +8,7 @@
  */
 import { createHash } from 'node:crypto';
 import { type Clock, type Random } from '../kernel/index.js';
-import type { Platform, Stored, WriteResult } from '../platform/index.js';
+import type { Platform, StoredValue, WriteResult } from '../platform/index.js';
 
 /** The call that wants to run under an idempotency key. */
 export interface ClaimRequest {
@@ -152,7 +152,7 @@
     }
   }
 
-  #isMine(item: Stored, mine: ClaimRecord): boolean {
+  #isMine(item: StoredValue, mine: ClaimRecord): boolean {
     return (JSON.parse(item.value) as ClaimRecord).token === mine.token;
   }
 
--- a/src/peer/grpc.ts
+++ b/src/peer/grpc.ts
@@ -16,7 +16,7 @@
   status,
 } from '@grpc/grpc-js';
 import { Left, Right } from 'purify-ts';
-import { type Address, formatAddress, matchSecret } from '../kernel/index.js';
+import { type Address, formatAddress, matchesSecret } from '../kernel/index.js';
 import {
   type Codec,
   type Method,
@@ -93,7 +93,7 @@
 function createUnary<Q, A>(secret: string, handle: (request: Q) => Promise<A>) {
   return (call: ServerUnaryCall<Q, A>, done: sendUnaryData<A>) => {
     const [given = ''] = call.metadata.get(SECRET_KEY);
-    if (!matchSecret(String(given), secret)) {
+    if (!matchesSecret(String(given), secret)) {
       done({ code: status.UNAUTHENTICATED, details: 'wrong peer_secret' });
       return;
     }
--- a/src/peer/transport.ts
+++ b/src/peer/transport.ts
@@ -1,6 +1,6 @@
 /** How entries reach each other, behind an interface that tests replace. */
 import { Either, Left, Right } from 'purify-ts';
-import { type Address, formatAddress, nameService } from '../kernel/index.js';
+import { type Address, formatAddress, createServiceKey } from '../kernel/index.js';
 import type {
   ConfigReply,
   ExchangeMessage,
@@ -60,7 +60,7 @@
 }
 
 /** The name of the transport service. */
-export const peerTransportService = nameService<PeerTransport>('peer-transport');
+export const peerTransportService = createServiceKey<PeerTransport>('peer-transport');
 
 /** Wraps a failure to reach a peer. */
 export function createPeerFailure(reason: string): PeerFailure {
--- a/src/peering/feed.ts
+++ b/src/peering/feed.ts
@@ -5,10 +5,10 @@
 import {
   type Address,
   type Clock,
-  PACKING,
+  PEER_CONTENT_ENCODING,
   exchangeHttp,
   isJsonObject,
-  parsePath,
+  parseRequestUrl,
 } from '../kernel/index.js';
 import type { Evacuations, LeftTarget, ViewDelta, ViewPosition } from '../view/index.js';
 import type { TargetRecord } from '../platform/index.js';
@@ -126,7 +126,10 @@
     return;
   }
   const packed = await startGzip(body, { level: constants.Z_BEST_SPEED });
-  response.writeHead(200, { 'content-length': packed.length, 'content-encoding': PACKING });
+  response.writeHead(200, {
+    'content-length': packed.length,
+    'content-encoding': PEER_CONTENT_ENCODING,
+  });
   response.end(packed);
 }
 
@@ -136,7 +139,7 @@
   answer: (question: FeedQuestion) => FeedAnswer,
 ): Promise<http.Server> {
   const server = http.createServer({ keepAliveTimeout: 30_000 }, (request, response) => {
-    const url = parsePath(request.url);
+    const url = parseRequestUrl(request.url);
     if (url === undefined) {
       response.writeHead(400).end();
       return;
--- a/src/platform/kv-platform.ts
+++ b/src/platform/kv-platform.ts
@@ -1,9 +1,9 @@
 /** The product's platform on the store: the same client, seen through the product's own interface. */
-import type { DoneUnknown, KvStore, NotDone, StoredItem, WriteAnswer } from './kv-store.js';
+import type { OutcomeUnknown, KvStore, NotApplied, StoredItem, WriteAnswer } from './kv-store.js';
 import type {
   LeaseResult,
   Platform,
-  Stored,
+  StoredValue,
   Unavailable,
   Vm,
   VmsResult,
@@ -14,11 +14,11 @@
 /** How long a watch waits while nothing changes, in milliseconds; the store takes up to 30,000. */
 const WATCH_WAIT = 20_000;
 
-function makeStored({ key, text, revision }: StoredItem): Stored {
+function makeStored({ key, text, revision }: StoredItem): StoredValue {
   return { key, value: text, version: revision };
 }
 
-function describeUnavailable({ reason }: NotDone | DoneUnknown): Unavailable {
+function describeUnavailable({ reason }: NotApplied | OutcomeUnknown): Unavailable {
   return { kind: 'unavailable', reason };
 }
 
--- a/src/platform/kv-store.ts
+++ b/src/platform/kv-store.ts
@@ -7,7 +7,7 @@
   type JsonObject,
   exchangeHttp,
   isJsonObject,
-  nameService,
+  createServiceKey,
 } from '../kernel/index.js';
 
 /** An item of the store. */
@@ -24,13 +24,13 @@
   | { readonly kind: 'removed'; readonly key: string; readonly revision: number };
 
 /** The store did not do it, for certain: it refused, or the call never left this machine. */
-export interface NotDone {
+export interface NotApplied {
   readonly kind: 'not-done';
   readonly reason: string;
 }
 
 /** Nobody knows whether the store did it, or will do it within the next seconds. */
-export interface DoneUnknown {
+export interface OutcomeUnknown {
   readonly kind: 'unknown';
   readonly reason: string;
 }
@@ -52,23 +52,23 @@
       readonly storeRevision: number;
     }
   | { readonly kind: 'history-gone' }
-  | NotDone
-  | DoneUnknown;
+  | NotApplied
+  | OutcomeUnknown;
 
 /** What reading one key gives. */
 export type ItemAnswer =
   | { readonly kind: 'item'; readonly item: StoredItem; readonly storeRevision: number }
   | { readonly kind: 'absent' }
-  | NotDone
-  | DoneUnknown;
+  | NotApplied
+  | OutcomeUnknown;
 
 /** What a conditional write gives. */
 export type WriteAnswer =
   | { readonly kind: 'done'; readonly revision: number }
   /** `current` is what stands there instead; undefined when nothing does. */
   | { readonly kind: 'condition-failed'; readonly current: StoredItem | undefined }
-  | NotDone
-  | DoneUnknown;
+  | NotApplied
+  | OutcomeUnknown;
 
 /** A write of one key that takes effect only while the key is at `expected`; 0 expects no key. */
 export interface ConditionalWrite {
@@ -89,8 +89,8 @@
 export type LeaseAnswer =
   | { readonly kind: 'held'; readonly lease: string; readonly ttl: number }
   | { readonly kind: 'lapsed' }
-  | NotDone
-  | DoneUnknown;
+  | NotApplied
+  | OutcomeUnknown;
 
 /** The part of the store that tells what it holds. */
 export interface KvReader {
@@ -101,7 +101,7 @@
     prefix: string,
     after: string,
     stale: boolean,
-  ): Promise<ItemPage | NotDone | DoneUnknown>;
+  ): Promise<ItemPage | NotApplied | OutcomeUnknown>;
   /** Waits up to `wait` milliseconds for changes after a revision, or until the signal aborts. */
   watch(prefix: string, after: number, wait: number, signal?: AbortSignal): Promise<WatchAnswer>;
 }
@@ -119,7 +119,7 @@
 }
 
 /** The name of the store service. */
-export const kvStoreService = nameService<KvStore>('kv-store');
+export const kvStoreService = createServiceKey<KvStore>('kv-store');
 
 const OK = 200;
 const ABSENT = 404;
@@ -160,9 +160,9 @@
   return value.map(decodeOne).filter((entry): entry is T & {} => entry !== undefined);
 }
 
-const UNREADABLE: DoneUnknown = { kind: 'unknown', reason: 'the answer is not in the protocol' };
+const UNREADABLE: OutcomeUnknown = { kind: 'unknown', reason: 'the answer is not in the protocol' };
 
-function explainFailure(reply: HttpReply | HttpFailure): NotDone | DoneUnknown {
+function explainFailure(reply: HttpReply | HttpFailure): NotApplied | OutcomeUnknown {
   if (reply.kind === 'failure') {
     return { kind: reply.sent ? 'unknown' : 'not-done', reason: reply.reason };
   }
--- a/src/platform/platform.ts
+++ b/src/platform/platform.ts
@@ -4,10 +4,10 @@
  * Every outcome is a value. A write has four: it took effect, it met another version, it was
  * certainly not applied, or nobody knows. Callers of a write must decide what each means to them.
  */
-import { type Address, nameService } from '../kernel/index.js';
+import { type Address, createServiceKey } from '../kernel/index.js';
 
 /** A stored value with the version that its last write gave it. Versions grow over the whole store. */
-export interface Stored {
+export interface StoredValue {
   readonly key: string;
   readonly value: string;
   readonly version: number;
@@ -21,17 +21,19 @@
 
 /** What reading one key gives. */
 export type ReadResult =
-  { readonly kind: 'found'; readonly item: Stored } | { readonly kind: 'absent' } | Unavailable;
+  | { readonly kind: 'found'; readonly item: StoredValue }
+  | { readonly kind: 'absent' }
+  | Unavailable;
 
 /** What reading a range of keys gives; `version` is the store's version at that moment. */
 export type RangeResult =
-  | { readonly kind: 'items'; readonly items: readonly Stored[]; readonly version: number }
+  | { readonly kind: 'items'; readonly items: readonly StoredValue[]; readonly version: number }
   | Unavailable;
 
 /** What a compare-and-swap gives. */
 export type WriteResult =
   | { readonly kind: 'written'; readonly version: number }
-  | { readonly kind: 'conflict'; readonly current: Stored | undefined }
+  | { readonly kind: 'conflict'; readonly current: StoredValue | undefined }
   | { readonly kind: 'refused'; readonly reason: string }
   | { readonly kind: 'unknown'; readonly reason: string };
 
@@ -61,7 +63,7 @@
 export type VmsResult = { readonly kind: 'vms'; readonly vms: readonly Vm[] } | Unavailable;
 
 /** A compare-and-swap: `value` replaces the item of version `expect`; 0 expects no item. */
-export interface Swap {
+export interface CompareAndSwap {
   readonly key: string;
   readonly value: string;
   readonly expect: number;
@@ -79,7 +81,7 @@
 export interface Platform {
   read(key: string): Promise<ReadResult>;
   range(prefix: string): Promise<RangeResult>;
-  swap(swap: Swap): Promise<WriteResult>;
+  swap(swap: CompareAndSwap): Promise<WriteResult>;
   remove(removal: Removal): Promise<WriteResult>;
   grantLease(ttl: number): Promise<LeaseResult>;
   renewLease(lease: string): Promise<LeaseResult>;
@@ -89,7 +91,7 @@
 }
 
 /** The name of the platform service. */
-export const platformService = nameService<Platform>('platform');
+export const platformService = createServiceKey<Platform>('platform');
 
 /** The longest value that the platform stores, in bytes. */
 export const MAX_VALUE_BYTES = 1_000_000;
--- a/src/platform/self-report.ts
+++ b/src/platform/self-report.ts
@@ -1,6 +1,6 @@
 /** What a target says of itself in the head of an answer: decoded once, and alike for every kind of answer. */
 import type { IncomingHttpHeaders } from 'node:http';
-import { HEADERS, MISDIRECTED } from './wire.js';
+import { HEADERS, MISDIRECTED_STATUS } from './wire.js';
 
 /** What a target says of its load. */
 export interface LoadReport {
@@ -12,18 +12,18 @@
 }
 
 /** What a target's answer says of the rate that it takes. */
-export type StatedRate =
+export type ReportedRate =
   | { readonly kind: 'silent' }
   /** `rate` is in requests a second, of all daemons together. */
   | { readonly kind: 'named'; readonly rate: number }
   | { readonly kind: 'unreadable'; readonly text: string };
 
 /** Whether a target's answer says that it is draining, which it never takes back. */
-export type StatedDraining =
+export type ReportedDraining =
   { readonly kind: 'silent' | 'draining' } | { readonly kind: 'unreadable'; readonly text: string };
 
 /** For how long a target that rejects a request wants no more from this daemon. */
-export type StatedBackoff =
+export type ReportedBackoff =
   | { readonly kind: 'silent' }
   /** `time` is in milliseconds from the answer on. */
   | { readonly kind: 'asked'; readonly time: number }
@@ -34,9 +34,9 @@
   readonly load: LoadReport | undefined;
   /** For how long it is still cold, in milliseconds; undefined when it does not say. */
   readonly coldLeft: number | undefined;
-  readonly rate: StatedRate;
-  readonly draining: StatedDraining;
-  readonly backoff: StatedBackoff;
+  readonly rate: ReportedRate;
+  readonly draining: ReportedDraining;
+  readonly backoff: ReportedBackoff;
   /** The incarnation that names itself; undefined when none does. */
   readonly incarnation: string | undefined;
   /** Whether the target did not run the request. */
@@ -90,19 +90,19 @@
 }
 
 /** Reads the rate that a target names; one that is named twice comes as two numbers and is unreadable. */
-export function parseRate(text: string | undefined): StatedRate {
+export function parseRate(text: string | undefined): ReportedRate {
   if (text === undefined) return { kind: 'silent' };
   return isDecimal(text) ? { kind: 'named', rate: Number(text) } : rejectText(text);
 }
 
 /** Reads whether a target says that it is draining. */
-export function parseDraining(text: string | undefined): StatedDraining {
+export function parseDraining(text: string | undefined): ReportedDraining {
   if (text === undefined) return { kind: 'silent' };
   return text === '1' ? { kind: 'draining' } : rejectText(text);
 }
 
 /** Reads for how many seconds a target asks to be left alone; a date names no time that two clocks agree on. */
-export function parseBackoff(text: string | undefined): StatedBackoff {
+export function parseBackoff(text: string | undefined): ReportedBackoff {
   if (text === undefined) return { kind: 'silent' };
   return isDecimal(text) ? { kind: 'asked', time: Number(text) * MILLISECONDS } : rejectText(text);
 }
@@ -121,7 +121,7 @@
     backoff: parseBackoff(status === UNAVAILABLE ? read(HEADERS.retryAfter) : undefined),
     incarnation: read(HEADERS.incarnation),
     isRejected: read(HEADERS.notRun) !== undefined,
-    isMisdirected: status === MISDIRECTED,
+    isMisdirected: status === MISDIRECTED_STATUS,
     isSigned: read(HEADERS.signature) !== undefined,
   };
 }
--- a/src/platform/wire.ts
+++ b/src/platform/wire.ts
@@ -12,7 +12,7 @@
   timeLeft: 'Request-Deadline-Ms',
   /** Shows that an answer is a target's own. */
   signature: 'Server-Signature',
-  /** The incarnation that must serve the request; any other one answers {@link MISDIRECTED}. */
+  /** The incarnation that must serve the request; any other one answers {@link MISDIRECTED_STATUS}. */
   expectedIncarnation: 'Expect-Instance',
   incarnation: 'Instance-Id',
   /** In a target's health answer: milliseconds for which it is still cold. */
@@ -29,7 +29,7 @@
 } as const;
 
 /** The status by which another incarnation says that it did not run the request. */
-export const MISDIRECTED = 421;
+export const MISDIRECTED_STATUS = 421;
 
 /** Keys in the store. */
 export const KEYS = {
@@ -44,7 +44,7 @@
   /** Ours: the VMs that run the system, for one that starts and reaches no seed. */
   members: 'orchidbeam/members',
   /** Ours: what daemons have learnt of services and routes. */
-  lessons: 'orchidbeam/lessons',
+  learnedState: 'orchidbeam/lessons',
   /** The list of VMs where no users' platform keeps one: one item for each, written by whoever runs them. */
   vms: 'vms/',
 } as const;
@@ -56,14 +56,14 @@
 } as const;
 
 /** The question of a client that wants to know which addresses to use. */
-export interface ResolveQuestion {
+export interface ResolveQuery {
   readonly host: string;
   readonly region: string;
   readonly domain: string;
 }
 
 /** Reads the query of a resolve call. */
-export function parseResolve(query: URLSearchParams): ResolveQuestion {
+export function parseResolveQuery(query: URLSearchParams): ResolveQuery {
   return {
     host: query.get('name') ?? '',
     region: query.get('region') ?? '',
@@ -72,6 +72,6 @@
 }
 
 /** Writes the answer to a resolve call; `ttl` is in milliseconds. */
-export function encodeResolve(addresses: readonly string[], ttl: number): string {
+export function encodeResolveResponse(addresses: readonly string[], ttl: number): string {
   return JSON.stringify({ addresses, ttl_s: ttl / 1000 });
 }
--- a/src/settings/file.ts
+++ b/src/settings/file.ts
@@ -1,7 +1,7 @@
 /** Checks a whole settings file against the sections that a program knows. */
 import { type Either, Left, Right } from 'purify-ts';
 import { type Mistake, readIni } from './ini.js';
-import { type Fields, type Values, checkSection } from './schema.js';
+import { type Fields, type FieldValues, checkSection } from './schema.js';
 import { suggestName } from './suggest.js';
 
 /** The sections of a program's settings, by name and in the order of the reference. */
@@ -9,7 +9,7 @@
 
 /** The checked values of all sections. */
 export type SectionValues<S extends Sections> = {
-  readonly [N in keyof S]: Values<S[N]>;
+  readonly [N in keyof S]: FieldValues<S[N]>;
 };
 
 /** Checks the text of a file; all its mistakes come together. A section that is absent has its defaults. */
--- a/src/settings/schema.ts
+++ b/src/settings/schema.ts
@@ -19,7 +19,7 @@
 export type Fields = Readonly<Record<string, Field<unknown>>>;
 
 /** The values that a section of `F` holds once it is checked. */
-export type Values<F extends Fields> = {
+export type FieldValues<F extends Fields> = {
   readonly [K in keyof F]: F[K] extends Field<infer T> ? T : never;
 };
 
@@ -131,7 +131,7 @@
   file: string,
   section: IniSection,
   fields: F,
-): Either<readonly Mistake[], Values<F>> {
+): Either<readonly Mistake[], FieldValues<F>> {
   const mistakes: Mistake[] = [...findUnknownKeys(file, section, fields)];
   const values: Record<string, unknown> = {};
   for (const [key, field] of Object.entries(fields)) {
@@ -151,7 +151,7 @@
     }
     values[key] = value;
   }
-  return mistakes.length > 0 ? Left(mistakes) : Right(values as Values<F>);
+  return mistakes.length > 0 ? Left(mistakes) : Right(values as FieldValues<F>);
 }
 
 function formatFallback(value: unknown): string {
--- a/src/standin/store.ts
+++ b/src/standin/store.ts
@@ -11,8 +11,8 @@
   type Platform,
   type ReadResult,
   type Removal,
-  type Stored,
-  type Swap,
+  type StoredValue,
+  type CompareAndSwap,
   TokenBucket,
   type Vm,
   type WatchResult,
@@ -60,7 +60,7 @@
 const HISTORY = 5000;
 
 /** An item with what the store keeps besides. */
-export interface StoreItem extends Stored {
+export interface StoreItem extends StoredValue {
   readonly createdAt: number;
   /** Empty when there is none. */
   readonly lease: string;
@@ -161,7 +161,7 @@
     return { items, version: this.#version };
   }
 
-  swap({ key, value, expect, lease = '' }: Swap): WriteResult {
+  swap({ key, value, expect, lease = '' }: CompareAndSwap): WriteResult {
     if (Buffer.byteLength(value) > MAX_VALUE_BYTES) return { kind: 'refused', reason: 'too large' };
     if (lease !== '' && !this.#leases.has(lease)) {
       return { kind: 'refused', reason: 'no such lease' };
--- a/test/backlog.test.ts
+++ b/test/backlog.test.ts
@@ -9,10 +9,10 @@
   readonly clock = new ManualClock();
 
   readonly turns = {
-    isAcceptingOn: false,
+    mayHavePendingConnections: false,
     accepted: 0,
-    hidesWaits: false,
-    atTurnEnd: (action: () => void) => {
+    hasRecentListenOverflow: false,
+    scheduleAfterIteration: (action: () => void) => {
       this.#ends.push(action);
     },
   };
@@ -77,7 +77,7 @@
   // The kernel had put off the handshake of a caller that took its connection for open, and left.
   it('are begun after one more look while their callers may have waited unseen', async () => {
     let isGone = false;
-    loop.turns.hidesWaits = true;
+    loop.turns.hasRecentListenOverflow = true;
     loop.add('left', { isGone: () => isGone });
     loop.add('there');
     await loop.endTurn();
@@ -120,7 +120,7 @@
     expect(loop.list('begun')).to.deep.equal(['new', 'old']);
   });
   it('wait while connections are being accepted, for a bounded number of them', async () => {
-    loop.turns.isAcceptingOn = true;
+    loop.turns.mayHavePendingConnections = true;
     loop.add('a');
     for (let accepted = 1; accepted < 12; accepted += 1) {
       loop.turns.accepted += 1;
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -12,7 +12,7 @@
   ManualClock,
   createSeededRandom,
   createSystemClock,
-  scheduleFairly,
+  scheduleLagTolerantTimeout,
 } from '../src/kernel/index.js';
 import { decodeConfiguration } from '../src/platform/index.js';
 import { writeConfiguration } from '../src/standin/index.js';
@@ -128,7 +128,7 @@
       socket.once('connect', resolve);
     });
     const ended = new Promise<string>((resolve) => {
-      const timer = scheduleFairly(30, () => resolve('timed out'));
+      const timer = scheduleLagTolerantTimeout(30, () => resolve('timed out'));
       socket.once('data', () => {
         timer.cancel();
         resolve('answered');
--- a/test/lessons.test.ts
+++ b/test/lessons.test.ts
@@ -1,19 +1,19 @@
 import { expect } from 'chai';
 import {
-  type Lessons,
-  LessonBook,
-  NO_LESSONS,
-  formatLessons,
-  parseLessons,
-  supersedes,
-} from '../src/gateway/lessons.js';
+  type LearnedState,
+  LearnedStateStore,
+  EMPTY_LEARNED_STATE,
+  formatLearnedState,
+  parseLearnedState,
+  hasSignificantChange,
+} from '../src/gateway/learned-state.js';
 import { PoisonRegistry } from '../src/gateway/requests/poison-registry.js';
 import { RequestHandler } from '../src/gateway/requests/request-handler.js';
 import { TargetSet } from '../src/gateway/targets/target-set.js';
 import {
   ManualClock,
   TextMetrics,
-  createLineLog,
+  createRateLimitedLog,
   createSeededRandom,
 } from '../src/kernel/index.js';
 import { KEYS, type KvStore, createKvStore } from '../src/platform/index.js';
@@ -21,14 +21,14 @@
 import { KvStandin } from '../src/standin/index.js';
 import { quietListener } from './helpers/listener.js';
 
-const LESSONS: Lessons = {
+const LESSONS: LearnedState = {
   services: { alpha: { mean: 2, slow: 5, life: 150, knee: 1.7 } },
   routes: { 'r/a/': { work: 220, spread: 1.35 } },
   homes: 4,
   poison: [{ request: 'q1', ended: [7, 9], releases: ['v1'], at: 1_700_000_000_000 }],
 };
 
-const change = (life: number): Lessons => ({
+const change = (life: number): LearnedState => ({
   ...LESSONS,
   services: { alpha: { ...LESSONS.services.alpha, life } },
 });
@@ -36,17 +36,17 @@
 describe('what daemons have learnt', () => {
   describe('as a record', () => {
     it('is read as it was written', () => {
-      expect(parseLessons(formatLessons(LESSONS))).to.deep.equal(LESSONS);
+      expect(parseLearnedState(formatLearnedState(LESSONS))).to.deep.equal(LESSONS);
     });
     it('keeps only what makes sense', () => {
       for (const text of ['', '7', 'null', '[]', '{"services":7}']) {
-        expect(parseLessons(text)).to.deep.equal(NO_LESSONS);
+        expect(parseLearnedState(text)).to.deep.equal(EMPTY_LEARNED_STATE);
       }
       const odd = JSON.stringify({
         services: { ...LESSONS.services, bad: { mean: 1 }, none: null },
         routes: { worse: { work: -1, spread: 'x' } },
       });
-      expect(parseLessons(odd)).to.deep.equal({
+      expect(parseLearnedState(odd)).to.deep.equal({
         services: LESSONS.services,
         routes: {},
         homes: 0,
@@ -54,14 +54,14 @@
       });
     });
     it('is news when something is new or quite different', () => {
-      expect(supersedes(LESSONS, NO_LESSONS)).to.equal(true);
-      expect(supersedes(LESSONS, LESSONS)).to.equal(false);
-      expect(supersedes({ ...NO_LESSONS, homes: 4, poison: LESSONS.poison }, LESSONS)).to.equal(
-        false,
-      );
-      expect(supersedes({ ...LESSONS, homes: 8 }, LESSONS)).to.equal(true);
-      expect(supersedes(change(160), LESSONS)).to.equal(false);
-      expect(supersedes(change(500), LESSONS)).to.equal(true);
+      expect(hasSignificantChange(LESSONS, EMPTY_LEARNED_STATE)).to.equal(true);
+      expect(hasSignificantChange(LESSONS, LESSONS)).to.equal(false);
+      expect(
+        hasSignificantChange({ ...EMPTY_LEARNED_STATE, homes: 4, poison: LESSONS.poison }, LESSONS),
+      ).to.equal(false);
+      expect(hasSignificantChange({ ...LESSONS, homes: 8 }, LESSONS)).to.equal(true);
+      expect(hasSignificantChange(change(160), LESSONS)).to.equal(false);
+      expect(hasSignificantChange(change(500), LESSONS)).to.equal(true);
     });
   });
 
@@ -85,15 +85,23 @@
       await standin.stop();
     });
 
-    function startBook(isWriter: boolean, learnt: () => Lessons): { readonly found: Lessons[] } {
+    function startBook(
+      isWriter: boolean,
+      learnt: () => LearnedState,
+    ): { readonly found: LearnedState[] } {
       const clock = new ManualClock();
       clocks.push(clock);
-      const log = createLineLog(clock, 'error', {}, { writableLength: 0, write: () => true });
-      const found: Lessons[] = [];
-      const book = new LessonBook({
+      const log = createRateLimitedLog(
+        clock,
+        'error',
+        {},
+        { writableLength: 0, write: () => true },
+      );
+      const found: LearnedState[] = [];
+      const book = new LearnedStateStore({
         ...{ store, clock, log, isWriter: () => isWriter, isHome: () => isWriter },
         isFirstStart: false,
-        ...{ listLessons: learnt, onFound: (lessons) => found.push(lessons) },
+        ...{ readLearnedState: learnt, onFound: (lessons) => found.push(lessons) },
       });
       book.run(ends.signal).catch(() => undefined);
       return { found };
@@ -109,25 +117,25 @@
       let learnt = LESSONS;
       startBook(true, () => learnt);
       await passTime();
-      expect(parseLessons(standin.get(KEYS.lessons) ?? '')).to.deep.equal(LESSONS);
+      expect(parseLearnedState(standin.get(KEYS.learnedState) ?? '')).to.deep.equal(LESSONS);
       learnt = change(160);
       await passTime();
-      expect(parseLessons(standin.get(KEYS.lessons) ?? '')).to.deep.equal(LESSONS);
+      expect(parseLearnedState(standin.get(KEYS.learnedState) ?? '')).to.deep.equal(LESSONS);
       learnt = change(500);
       await passTime();
-      const { found } = startBook(false, () => NO_LESSONS);
+      const { found } = startBook(false, () => EMPTY_LEARNED_STATE);
       await passTime();
       expect(found).to.deep.equal([change(500)]);
     });
     it('is not written by others, nor lost to one that knows less', async () => {
       startBook(false, () => LESSONS);
       await passTime();
-      expect(standin.get(KEYS.lessons)).to.equal(undefined);
-      standin.put(KEYS.lessons, formatLessons(LESSONS));
+      expect(standin.get(KEYS.learnedState)).to.equal(undefined);
+      standin.put(KEYS.learnedState, formatLearnedState(LESSONS));
       const more = { services: { beta: LESSONS.services.alpha }, routes: {}, homes: 4, poison: [] };
       startBook(true, () => more);
       await passTime();
-      const kept = parseLessons(standin.get(KEYS.lessons) ?? '');
+      const kept = parseLearnedState(standin.get(KEYS.learnedState) ?? '');
       expect(Object.keys(kept.services)).to.have.members(['alpha', 'beta']);
       expect(kept.routes).to.deep.equal(LESSONS.routes);
     });
@@ -150,11 +158,16 @@
     expect(targets.find('alpha').knee.findLimit(6)).to.equal(4);
     expect(targets.find('late').readPattern().life).to.equal(900);
     expect(targets.listLessons()).to.deep.equal({});
-    const log = createLineLog(clock, 'error', {}, { writableLength: 0, write: () => true });
+    const log = createRateLimitedLog(clock, 'error', {}, { writableLength: 0, write: () => true });
     const metrics = new TextMetrics();
     const reception = new RequestHandler({
       ...{ clock, random, targets, metrics, log, readTable: () => undefined },
-      turns: { isAcceptingOn: false, accepted: 0, hidesWaits: false, atTurnEnd: () => undefined },
+      turns: {
+        mayHavePendingConnections: false,
+        accepted: 0,
+        hasRecentListenOverflow: false,
+        scheduleAfterIteration: () => undefined,
+      },
       onInvariantViolation: () => undefined,
       poison: new PoisonRegistry({
         ...{ clock, log, metrics, mayRunTrials: () => true, send: () => undefined },
--- a/test/load.test.ts
+++ b/test/load.test.ts
@@ -17,7 +17,7 @@
 import { LatencyBudgets } from '../src/gateway/requests/latency-budget.js';
 import { type SlotAnswer, type SlotCall, SlotQueue } from '../src/gateway/targets/slot-queue.js';
 import { GatewayTarget } from '../src/gateway/targets/target.js';
-import { ManualClock, createLineLog, createSeededRandom } from '../src/kernel/index.js';
+import { ManualClock, createRateLimitedLog, createSeededRandom } from '../src/kernel/index.js';
 import { type Datagram, decodeDatagram, encodeDatagram } from '../src/peering/index.js';
 import type { Route } from '../src/routing/index.js';
 import { quietListener } from './helpers/listener.js';
@@ -520,7 +520,7 @@
     const clock = new ManualClock();
     const lines: string[] = [];
     const sink = { writableLength: 0, write: (text: string) => lines.push(text) > 0 };
-    const log = createLineLog(clock, 'info', { vm: 'a' }, sink);
+    const log = createRateLimitedLog(clock, 'info', { vm: 'a' }, sink);
     for (let index = 0; index < 500; index += 1) log.info('flood', { index });
     log.info('other');
     log.debug('unheard');
--- a/test/poison.test.ts
+++ b/test/poison.test.ts
@@ -195,7 +195,7 @@
     const ended = countEnded();
     const newcomer = await site.addGateway([ips[0]]);
     expect((await sendTo(newcomer, { path: POISON })).status).to.equal(503);
-    const isStored = () => site.store.get(KEYS.lessons)?.includes('"poison":[{') === true;
+    const isStored = () => site.store.get(KEYS.learnedState)?.includes('"poison":[{') === true;
     await waitUntil(isStored, 'the store keeps it');
     for (const { gateway } of site.gateways) gateway.destroy();
     const first = await site.addGateway();
--- a/test/turns.test.ts
+++ b/test/turns.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { TurnWatch } from '../src/gateway/turn-watch.js';
+import { EventLoopMonitor } from '../src/gateway/event-loop-monitor.js';
 import { type Log, type LogFields, ManualClock, TextMetrics } from '../src/kernel/index.js';
 
 /** An event loop that is moved by hand. */
@@ -12,16 +12,19 @@
 
   #ends: (() => void)[] = [];
 
-  readonly watch: TurnWatch;
+  readonly watch: EventLoopMonitor;
 
   readonly log: Log;
 
   constructor() {
     const write = (event: string, fields: LogFields = {}) => this.lines.push({ event, fields });
     this.log = { debug: write, info: write, warn: write, error: write };
-    this.watch = new TurnWatch({
+    this.watch = new EventLoopMonitor({
       ...{ clock: this.clock, metrics: new TextMetrics(), log: this.log, listenQueue: 4 },
-      source: { readIdle: () => this.#idle, atTurnEnd: (end) => this.#ends.push(end) },
+      source: {
+        readIdleMs: () => this.#idle,
+        scheduleAfterIteration: (end) => this.#ends.push(end),
+      },
     });
   }
 
@@ -76,7 +79,7 @@
     loop.watch.estimateArrival();
     await loop.work(400);
     loop.endTurn();
-    const accepted = loop.watch.noteAccept();
+    const accepted = loop.watch.recordAccept();
     await loop.work(300);
     loop.endTurn();
     expect(loop.watch.estimateArrival(accepted)).to.equal((50 + 750) / 2);
@@ -84,28 +87,28 @@
   });
   it('reaches back to the first of the turns that each accepted one', async () => {
     for (let turn = 0; turn < 3; turn += 1) {
-      loop.watch.noteAccept();
+      loop.watch.recordAccept();
       await loop.work(100);
       loop.endTurn();
     }
-    const accepted = loop.watch.noteAccept();
+    const accepted = loop.watch.recordAccept();
     expect(loop.watch.estimateArrival(accepted)).to.equal(150);
     loop.endTurn();
     // A turn without one shows that none waits.
     loop.endTurn();
     await loop.wait(10);
-    expect(loop.watch.noteAccept().earliest).to.equal(310);
+    expect(loop.watch.recordAccept().earliest).to.equal(310);
   });
   it('is no longer than as many as may wait took before it', async () => {
     for (let turn = 0; turn < 10; turn += 1) {
-      loop.watch.noteAccept();
+      loop.watch.recordAccept();
       await loop.work(100);
       loop.endTurn();
     }
-    expect(loop.watch.noteAccept().earliest).to.equal(600);
+    expect(loop.watch.recordAccept().earliest).to.equal(600);
   });
   it('does not reach back to the accepting once the loop has waited', async () => {
-    const accepted = loop.watch.noteAccept();
+    const accepted = loop.watch.recordAccept();
     loop.endTurn();
     await loop.wait(16);
     expect(loop.watch.estimateArrival(accepted)).to.equal(16);
@@ -120,20 +123,20 @@
     const loop = new Loop();
     const { clock } = loop;
     const sleeps = [100, 190];
-    const late = new TurnWatch({
+    const late = new EventLoopMonitor({
       ...{ metrics: new TextMetrics(), log: loop.log, listenQueue: 4 },
       clock: {
         ...{ now: () => clock.now(), wall: () => clock.wall() },
         schedule: (delay, action) => clock.schedule(delay, action),
         sleep: (_, signal) => clock.sleep(sleeps.shift() ?? 100, signal),
       },
-      source: { readIdle: () => 0, atTurnEnd: () => undefined },
+      source: { readIdleMs: () => 0, scheduleAfterIteration: () => undefined },
     });
     const ends = new AbortController();
     const running = late.run(ends.signal);
     await clock.advance(290);
     expect(loop.lines).to.deep.equal([{ event: 'loop.late', fields: { lag: 90 } }]);
-    late.noteAccept();
+    late.recordAccept();
     await clock.advance(100);
     expect(loop.lines.at(-1)).to.deep.equal({ event: 'accept.late', fields: { run: 390 } });
     ends.abort();
@@ -145,19 +148,19 @@
   it('may come for some seconds after more connections than may wait', async () => {
     const loop = new Loop();
     for (let count = 0; count < 3; count += 1) {
-      loop.watch.noteAccept();
+      loop.watch.recordAccept();
       await loop.work(1);
       loop.endTurn();
     }
-    expect(loop.watch.hidesWaits).to.equal(false);
-    loop.watch.noteAccept();
-    expect(loop.watch.hidesWaits).to.equal(true);
+    expect(loop.watch.hasRecentListenOverflow).to.equal(false);
+    loop.watch.recordAccept();
+    expect(loop.watch.hasRecentListenOverflow).to.equal(true);
     loop.endTurn();
     loop.endTurn();
     await loop.wait(7000);
-    expect(loop.watch.hidesWaits).to.equal(true);
+    expect(loop.watch.hasRecentListenOverflow).to.equal(true);
     await loop.wait(1000);
-    loop.watch.noteAccept();
-    expect(loop.watch.hidesWaits).to.equal(false);
+    loop.watch.recordAccept();
+    expect(loop.watch.hasRecentListenOverflow).to.equal(false);
   });
 });
