--- a/src/gateway/fleet/home-planner.ts
+++ b/src/gateway/fleet/home-planner.ts
@@ -1,6 +1,6 @@
 /** Measures how busy this daemon is and, while it is the first home, plans how many homes there are. */
 import type { Clock, Log } from '../../kernel/index.js';
-import { HomePlan, type Roster } from '../../peering/index.js';
+import { HomeScaler, type Roster } from '../../peering/index.js';
 import { BusyMeter, createUtilizationReader } from './busy-meter.js';
 
 /** What the planner is made from. */
@@ -20,7 +20,7 @@
 
 /** The planner of one daemon. */
 export class HomePlanner {
-  readonly #plan = new HomePlan();
+  readonly #plan = new HomeScaler();
 
   readonly #meter: BusyMeter;
 
@@ -47,13 +47,13 @@
 
   #planHomes(): void {
     const { clock, log, roster, readLeast, capacity } = this.options;
-    const before = Math.max(roster.wanted, roster.listHomes().length);
-    const busy = [{ busy: this.#busy, capacity }, ...roster.listBusy()];
-    const load = { homes: before, least: readLeast(), busy, now: clock.now() };
-    const planned = Math.min(Math.max(before, roster.countStrong()), this.#plan.plan(load));
+    const before = Math.max(roster.desiredHomes, roster.listHomes().length);
+    const busy = [{ utilisation: this.#busy, capacity }, ...roster.listHomeUtilisations()];
+    const load = { homes: before, minHomes: readLeast(), utilisations: busy, now: clock.now() };
+    const planned = Math.min(Math.max(before, roster.countHomeCandidates()), this.#plan.plan(load));
     if (planned === before) return;
-    roster.setWanted(planned);
-    const parts = busy.map((home) => home.busy.toFixed(2)).join(',');
-    log.info('homes.planned', { before, after: roster.wanted, busy: parts });
+    roster.setDesiredHomes(planned);
+    const parts = busy.map((home) => home.utilisation.toFixed(2)).join(',');
+    log.info('homes.planned', { before, after: roster.desiredHomes, busy: parts });
   }
 }
--- a/src/gateway/fleet/knowledge-exchange.ts
+++ b/src/gateway/fleet/knowledge-exchange.ts
@@ -1,12 +1,12 @@
 /** What this daemon answers when another one asks what it knows, and what it takes from the answers of others. */
 import type { Clock } from '../../kernel/index.js';
 import type {
-  CaseWord,
+  PoisonReport,
   FeedClient,
   Knowledge,
   MemberInfo,
-  Reading,
-  ReaderDuty,
+  StoreRead,
+  ReaderRole,
   Roster,
 } from '../../peering/index.js';
 import type { FleetView, StoreReader } from '../../view/index.js';
@@ -17,11 +17,11 @@
   readonly self: string;
   readonly view: FleetView;
   readonly roster: Roster;
-  readonly reader: Pick<StoreReader, 'readAt'>;
-  readonly duty: ReaderDuty;
+  readonly reader: Pick<StoreReader, 'lastReadAt'>;
+  readonly duty: ReaderRole;
   readonly feed: FeedClient;
   /** Requests under which targets ended, as far as others are to know of them. */
-  readonly listCases: () => readonly CaseWord[];
+  readonly listCases: () => readonly PoisonReport[];
 }
 
 /** The exchange of one daemon. */
@@ -34,48 +34,48 @@
     return {
       position: view.position,
       proofAge: clock.now() - view.provenAt,
-      reading: this.#findReading(),
+      lastRead: this.#findReading(),
       known: view.known,
-      members: roster.readFingerprint(),
-      homes: roster.wanted,
+      membersFingerprint: roster.readFingerprint(),
+      desiredHomes: roster.desiredHomes,
       presences: roster.listPresences(),
-      cases: listCases(),
+      poisonReports: listCases(),
     };
   }
 
   /** Takes what another daemon knows, and fetches it when it is more. */
   async hear(from: MemberInfo, knowledge: Knowledge): Promise<void> {
     const { clock, self, view, roster, duty, feed } = this.options;
-    duty.noteHeard();
-    if (this.#isPlanFrom(from.ip)) roster.setWanted(knowledge.homes);
+    duty.recordAnswer();
+    if (this.#isPlanFrom(from.ip)) roster.setDesiredHomes(knowledge.desiredHomes);
     const now = clock.now();
     const provenAt = now - knowledge.proofAge;
-    const { reading } = knowledge;
+    const { lastRead: reading } = knowledge;
     const { position } = view;
     const members = roster.readFingerprint();
     const isBehind =
       knowledge.position.targets > position.targets ||
       knowledge.position.configuration > position.configuration ||
       knowledge.position.evacuations > position.evacuations;
-    if (isBehind && !(await feed.fetchNews(from.ip, { position, members }))) return;
-    if (!isBehind && knowledge.members !== members) {
+    if (isBehind && !(await feed.fetchChanges(from.ip, { position, members }))) return;
+    if (!isBehind && knowledge.membersFingerprint !== members) {
       await feed.fetchMembers(from.ip, { position, members });
     }
     if (view.table !== undefined) {
-      view.prove(provenAt);
-      view.noteKnown(knowledge.known);
+      view.recordProof(provenAt);
+      view.advanceKnown(knowledge.known);
     }
     // The echo of an own reading shows nothing.
     if (reading === undefined || reading.reader === self) return;
-    duty.noteTold(reading.reader, now - reading.age);
+    duty.recordRemoteRead(reading.reader, now - reading.age);
   }
 
   /** The last reading of the store by a daemon itself, be it this one or another. */
-  #findReading(): Reading | undefined {
+  #findReading(): StoreRead | undefined {
     const { clock, self, reader, duty } = this.options;
-    const { told } = duty;
+    const { lastRemoteRead: told } = duty;
     const now = clock.now();
-    const { readAt } = reader;
+    const { lastReadAt: readAt } = reader;
     if (told !== undefined && told.at > readAt) return { reader: told.reader, age: now - told.at };
     return readAt === -Infinity ? undefined : { reader: self, age: now - readAt };
   }
--- a/src/gateway/fleet/place.ts
+++ b/src/gateway/fleet/place.ts
@@ -10,7 +10,7 @@
   readonly readRoster: () => Roster;
   readonly self: string;
   /** The link to the others, once it is made. */
-  readonly readLink: () => Pick<PeerLink, 'isInCompany' | 'countAskers' | 'countLookers'>;
+  readonly readLink: () => Pick<PeerLink, 'hasJoined' | 'countPollers' | 'countHomePollers'>;
   /** Daemons that the store's list named; the roster may know fewer at first. */
   readonly countListed: () => number;
 }
@@ -70,9 +70,9 @@
     const { self, readRoster, readLink, countListed } = this.options;
     const link = readLink();
     const homes = this.listHomes();
-    if (this.isNew || !link.isInCompany) return { part: 0, homes, self };
+    if (this.isNew || !link.hasJoined) return { part: 0, homes, self };
     const members = Math.max(readRoster().size, countListed());
-    return { part: Math.min(1, link.countLookers() / members), homes, self };
+    return { part: Math.min(1, link.countHomePollers() / members), homes, self };
   }
 
   /** Counts the daemons known and those present; everybody is taken for present until all have had the time to ask. */
@@ -80,7 +80,7 @@
     const { readRoster, readLink } = this.options;
     const roster = readRoster();
     const members = roster.size;
-    const present = readLink().countAskers() + roster.countTheirAskers();
+    const present = readLink().countPollers() + roster.countPollersOfOtherHomes();
     return { members, present: this.isNew ? members : present };
   }
 }
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -17,13 +17,13 @@
   MemberRegistry,
   type MemberState,
   PeerLink,
-  ReaderDuty,
+  ReaderRole,
   Roster,
   serveFeed,
 } from '../peering/index.js';
 import { type ResolveQuery, kvStoreService } from '../platform/index.js';
 import type { RouteTable } from '../routing/index.js';
-import { FleetView, type NewsTimes, StoreReader, planNews } from '../view/index.js';
+import { FleetView, type PropagationTimes, StoreReader, planPropagation } from '../view/index.js';
 import { chooseHomes } from './fleet/address-choice.js';
 import { CallerServer, computeListenQueue } from './requests/caller-server.js';
 import { serveDirectory, serveMetrics, serveReadiness } from './directory.js';
@@ -113,7 +113,7 @@
 
   readonly #reader: StoreReader;
 
-  readonly #duty: ReaderDuty;
+  readonly #duty: ReaderRole;
 
   readonly #roster: Roster;
 
@@ -187,8 +187,8 @@
       countListed: () => this.#listedMembers,
     });
     this.#roster = new Roster({
-      ...{ clock, self: readSelf(), selfState },
-      ...{ homes: tuning.homes, capacity: tuning.home_capacity },
+      ...{ clock, self: readSelf(), readSelfState: selfState },
+      ...{ minHomes: tuning.homes, minHomeCapacity: tuning.home_capacity },
     });
     this.#targets = new TargetSet({
       ...{ clock, random, domain: gateway.domain },
@@ -229,10 +229,10 @@
         this.#metrics.count('configuration_unreadable', {});
       },
     });
-    this.#duty = new ReaderDuty(
+    this.#duty = new ReaderRole(
       clock,
       {
-        isAppointed: () => this.#place.isAppointedReader(),
+        isDesignated: () => this.#place.isAppointedReader(),
         isNearHomes: () => this.#roster.isNearHomes(),
       },
       () => this.#planNews(),
@@ -241,9 +241,9 @@
     this.#reader = new StoreReader({
       ...{ store, view: this.#view, clock, random, log },
       isReader: () => this.#duty.isReader(),
-      readDueIn: () => this.#duty.readDueIn(),
-      readLongestPause: () => this.#duty.readLongestPause(),
-      readWatchWait: () => this.#planNews().watchWait,
+      getReadDelay: () => this.#duty.getReadDelay(),
+      getMaxBackoff: () => this.#duty.getMaxBackoff(),
+      getWatchTimeout: () => this.#planNews().watchTimeout,
     });
     const [port = 0] = gateway.peer_ports;
     this.#planner = new HomePlanner({
@@ -251,28 +251,38 @@
       readLeast: () => this.#settings.tuning.homes,
     });
     this.#link = new PeerLink({
-      ...{ address: { host: gateway.ip, port }, readSelf, selfState, roster: this.#roster },
-      ...{ clock, log, readBusy: () => this.#planner.busy, readTimes: () => this.#planNews() },
+      ...{
+        address: { host: gateway.ip, port },
+        readSelf,
+        readSelfState: selfState,
+        roster: this.#roster,
+      },
+      ...{
+        clock,
+        log,
+        readUtilisation: () => this.#planner.busy,
+        readTimes: () => this.#planNews(),
+      },
       readKnowledge: () => this.#exchange.read(),
       onKnowledge: (from, knowledge) => {
         this.#exchange.hear(from, knowledge).catch(() => undefined);
       },
-      onShares: (from, shares) => this.#sharing.hear(from, shares),
-      onDraining: (from, shares) => this.#sharing.takeDraining(from, shares),
-      onCases: (from, cases) => this.#poison.receive(from, cases),
+      onLoadReports: (from, shares) => this.#sharing.hear(from, shares),
+      onDrainingReports: (from, shares) => this.#sharing.takeDraining(from, shares),
+      onPoisonReports: (from, cases) => this.#poison.receive(from, cases),
     });
     this.#poison = new PoisonRegistry({
       ...{ clock, log, metrics: this.#metrics },
       mayRunTrials: () => this.#place.isFirstHome(),
       send: (words) => {
         for (const { ip } of this.#roster.listHomes()) {
-          if (ip !== gateway.ip) this.#link.sendCases(ip, words);
+          if (ip !== gateway.ip) this.#link.sendPoisonReports(ip, words);
         }
       },
     });
     this.#feed = new FeedClient(clock, port, ({ delta, members }) => {
       this.#view.applyDelta(delta, clock.now());
-      for (const member of members) this.#roster.note(member);
+      for (const member of members) this.#roster.addMember(member);
     });
     this.#exchange = new KnowledgeExchange({
       ...{ clock, self: gateway.ip, view: this.#view, roster: this.#roster, reader: this.#reader },
@@ -293,12 +303,12 @@
       readLearnedState: () => ({
         services: this.#targets.listLessons(),
         routes: this.#reception.readLearnedState(),
-        homes: this.#roster.wanted,
+        homes: this.#roster.desiredHomes,
         poison: this.#poison.listForStore(),
       }),
       onFound: ({ services, routes, homes, poison }) => {
         this.#poison.restore(poison);
-        if (this.#roster.wanted < homes) this.#roster.setWanted(homes);
+        if (this.#roster.desiredHomes < homes) this.#roster.setDesiredHomes(homes);
         this.#targets.absorb(services);
         this.#reception.restoreLearnedState(routes);
       },
@@ -322,8 +332,8 @@
       ...{ clock, targets: this.#targets, self: gateway.ip },
       listHomes: () => this.#place.listHomes(),
       isServing: () => this.#targets.isServing(clock.now()),
-      send: (ip, shares) => this.#link.sendShares(ip, shares),
-      sendDraining: (ip, shares) => this.#link.sendDraining(ip, shares),
+      send: (ip, shares) => this.#link.sendLoadReports(ip, shares),
+      sendDraining: (ip, shares) => this.#link.sendDrainingReports(ip, shares),
     });
     this.#prober = new Prober({
       ...{ targets: this.#targets, clock },
@@ -403,7 +413,7 @@
     const startedAt = clock.now();
     const grace = this.#settings.promises.grace * 1000;
     this.#state = 'stopping';
-    this.#link.tellAll();
+    this.#link.pushToPollers();
     this.#log.info('gateway.stopping', { active: this.#callers.countActive() });
     this.#callers.drain();
     while (clock.now() - startedAt < grace * WAIT_PART) {
@@ -450,8 +460,8 @@
       await clock.sleep(START_PACE);
     }
     if (this.#state === 'starting') this.#state = 'ready';
-    this.#duty.noteServing();
-    this.#link.tellAll();
+    this.#duty.recordServing();
+    this.#link.pushToPollers();
     this.#log.info('gateway.ready', {
       ...{ version: this.#view.table?.version, revision: this.#view.position.targets },
       targets: this.#view.listTargets().length,
@@ -459,9 +469,9 @@
     });
   }
 
-  #planNews(): NewsTimes {
+  #planNews(): PropagationTimes {
     const { config_apply: configApply, drain } = this.#settings.promises;
-    return planNews(Math.min(configApply, drain));
+    return planPropagation(Math.min(configApply, drain));
   }
 
   #findRegion(domain: string): string | undefined {
@@ -554,7 +564,7 @@
       accepted: this.#callers.accepted,
       connections: this.#callers.countConnections(),
       backlog: this.#reception.backlogSize,
-      unreadable: this.#reader.unreadable,
+      unreadable: this.#reader.unreadableCount,
       evacuated: this.#view.evacuations.domains,
       heldOut: this.#poison.heldOutCount,
       probes: this.#prober.sent,
--- a/src/gateway/requests/poison-registry.ts
+++ b/src/gateway/requests/poison-registry.ts
@@ -13,7 +13,7 @@
   type PoisonVerdict,
 } from '../../balance/index.js';
 import type { Clock, Log, TextMetrics } from '../../kernel/index.js';
-import type { CaseWord } from '../../peering/index.js';
+import type { PoisonReport } from '../../peering/index.js';
 import type { StoredPoisonRequest } from '../learned-state.js';
 import type { RequestIdentity } from './request-identity.js';
 import { type GatewayTarget, readRelease } from '../targets/target.js';
@@ -27,7 +27,7 @@
   /** Whether it falls to this daemon to try requests that are held out: one daemon does, so one target ends. */
   readonly mayRunTrials: () => boolean;
   /** Tells the homes. */
-  readonly send: (words: readonly CaseWord[]) => void;
+  readonly send: (words: readonly PoisonReport[]) => void;
 }
 
 /** A request that this desk looks at. */
@@ -151,7 +151,7 @@
   }
 
   /** Takes what another daemon tells. */
-  receive(from: string, words: readonly CaseWord[]): void {
+  receive(from: string, words: readonly PoisonReport[]): void {
     const { clock, log } = this.options;
     const now = clock.now();
     for (const { request, ended, releases, age } of words) {
@@ -165,7 +165,7 @@
   }
 
   /** Lists what goes with every answer to another daemon. */
-  listReports(): readonly CaseWord[] {
+  listReports(): readonly PoisonReport[] {
     if (this.#record.isEmpty) return [];
     const now = this.options.clock.now();
     const told = new Map<string, PoisonCase>();
@@ -230,7 +230,7 @@
 
   #sendNews(): void {
     const now = this.options.clock.now();
-    const words: CaseWord[] = [];
+    const words: PoisonReport[] = [];
     for (const request of this.#news) {
       const known = this.#record.find(request);
       if (known !== undefined) words.push(describeCase(known, now));
@@ -259,6 +259,9 @@
   return { kind: 'suspect', avoided: [...a.avoided, ...b.avoided] };
 }
 
-function describeCase({ request, ended, releases, changedAt }: PoisonCase, now: number): CaseWord {
+function describeCase(
+  { request, ended, releases, changedAt }: PoisonCase,
+  now: number,
+): PoisonReport {
   return { request, ended, releases, age: Math.max(0, now - changedAt) };
 }
--- a/src/gateway/requests/request-handler.ts
+++ b/src/gateway/requests/request-handler.ts
@@ -3,7 +3,7 @@
 import type { Clock, Log, Random, TextMetrics } from '../../kernel/index.js';
 import { RouteTime } from '../../balance/index.js';
 import { HEADERS, readHeader } from '../../platform/index.js';
-import { type Route, type RouteTable, SplitDealer } from '../../routing/index.js';
+import { type Route, type RouteTable, TrafficSplitter } from '../../routing/index.js';
 import { type Told, writeTold } from './answers.js';
 import { Backlog, type BacklogOptions } from './backlog.js';
 import { LatencyBudgets } from './latency-budget.js';
@@ -91,7 +91,7 @@
     ...{ answered: 0, failed: 0, notRun: 0, unknown: 0, gone: 0, retries: 0, hedges: 0 },
   };
 
-  readonly #dealer: SplitDealer;
+  readonly #dealer: TrafficSplitter;
 
   readonly #backlog: Backlog;
 
@@ -104,7 +104,7 @@
   #isClosed = false;
 
   constructor(private readonly options: RequestHandlerOptions) {
-    this.#dealer = new SplitDealer(() => options.random.next());
+    this.#dealer = new TrafficSplitter(() => options.random.next());
     this.#backlog = new Backlog(options);
   }
 
--- a/src/gateway/targets/draining-news.ts
+++ b/src/gateway/targets/draining-news.ts
@@ -1,6 +1,6 @@
 /** Which draining targets the other daemons are to be told of now. */
 import type { Clock } from '../../kernel/index.js';
-import type { DrainingShare } from '../../peering/index.js';
+import type { DrainingReport } from '../../peering/index.js';
 import type { GatewayTarget } from './target.js';
 import type { TargetSet } from './target-set.js';
 
@@ -23,9 +23,9 @@
   ) {}
 
   /** Lists the targets to tell of, and takes them for told. */
-  take(): readonly DrainingShare[] {
+  take(): readonly DrainingReport[] {
     const now = this.clock.now();
-    const due: DrainingShare[] = [];
+    const due: DrainingReport[] = [];
     for (const service of this.targets.list()) {
       for (const target of service.targets.values()) {
         const { draining } = target.standing;
--- a/src/gateway/targets/load-sharing.ts
+++ b/src/gateway/targets/load-sharing.ts
@@ -6,7 +6,7 @@
  * started anew. Such a daemon tells the homes of its calls, and hears from them for as long as it does.
  */
 import type { Clock } from '../../kernel/index.js';
-import type { DrainingShare, LoadShare } from '../../peering/index.js';
+import type { DrainingReport, TargetLoadReport } from '../../peering/index.js';
 import { DrainingNews } from './draining-news.js';
 import type { GatewayTarget } from './target.js';
 import type { TargetSet } from './target-set.js';
@@ -20,8 +20,8 @@
   readonly listHomes: () => readonly string[];
   /** Whether calls come to this daemon. */
   readonly isServing: () => boolean;
-  readonly send: (ip: string, shares: readonly LoadShare[]) => void;
-  readonly sendDraining: (ip: string, targets: readonly DrainingShare[]) => void;
+  readonly send: (ip: string, shares: readonly TargetLoadReport[]) => void;
+  readonly sendDraining: (ip: string, targets: readonly DrainingReport[]) => void;
 }
 
 /** Time between two datagrams to two others: short against a call, long against what a datagram costs. */
@@ -70,7 +70,7 @@
   readonly #heardAt = new Map<string, number>();
 
   /** News for the daemons that are no homes, which hear less often. */
-  #forNonHomes = new Map<number, LoadShare>();
+  #forNonHomes = new Map<number, TargetLoadReport>();
 
   #nonHomesToldAt = -Infinity;
 
@@ -93,7 +93,7 @@
   }
 
   /** Takes what another daemon told. */
-  hear(from: string, shares: readonly LoadShare[]): void {
+  hear(from: string, shares: readonly TargetLoadReport[]): void {
     const { targets, clock } = this.options;
     this.#heardAt.set(from, clock.now());
     // Calls that wait are looked at every few milliseconds anyway; serving them at every word of another
@@ -102,7 +102,7 @@
   }
 
   /** Takes it that targets drain, as they told another daemon. */
-  takeDraining(from: string, drained: readonly DrainingShare[]): void {
+  takeDraining(from: string, drained: readonly DrainingReport[]): void {
     for (const { target, age } of drained) {
       this.options.targets.findByHash(target)?.noteDrainingTold(from, age);
     }
@@ -149,7 +149,7 @@
   }
 
   /** Tells the other homes; nothing to tell is told as well, as a sign that there are no calls here. */
-  #tellHomes(ips: readonly string[], news: readonly LoadShare[]): void {
+  #tellHomes(ips: readonly string[], news: readonly TargetLoadReport[]): void {
     const now = this.options.clock.now();
     if (news.length === 0 && now - this.#homesToldAt < REPEAT) return;
     this.#homesToldAt = now;
@@ -158,7 +158,7 @@
   }
 
   /** Of a target that changed more than once since the last time, only the last word is told. */
-  #tellNonHomes(nonHomes: readonly string[], news: readonly LoadShare[]): void {
+  #tellNonHomes(nonHomes: readonly string[], news: readonly TargetLoadReport[]): void {
     const now = this.options.clock.now();
     for (const share of news) this.#forNonHomes.set(share.target, share);
     if (now - this.#nonHomesToldAt < NON_HOME_PACE) return;
@@ -167,7 +167,7 @@
     this.#forNonHomes.clear();
   }
 
-  #sendTo(ips: readonly string[], shares: readonly LoadShare[]): void {
+  #sendTo(ips: readonly string[], shares: readonly TargetLoadReport[]): void {
     for (let at = 0; at < shares.length; at += MOST_SHARES) {
       const part = shares.slice(at, at + MOST_SHARES);
       for (const ip of ips) this.options.send(ip, part);
@@ -175,9 +175,9 @@
   }
 
   /** Lists what changed since it was last told, or was told long ago. */
-  #listNews(): readonly LoadShare[] {
+  #listNews(): readonly TargetLoadReport[] {
     const now = this.options.clock.now();
-    const shares: LoadShare[] = [];
+    const shares: TargetLoadReport[] = [];
     for (const service of this.options.targets.list()) {
       for (const target of service.targets.values()) {
         const share = this.#describeNews(target, now);
@@ -187,7 +187,7 @@
     return shares;
   }
 
-  #describeNews(target: GatewayTarget, now: number): LoadShare | undefined {
+  #describeNews(target: GatewayTarget, now: number): TargetLoadReport | undefined {
     const { belief } = target;
     const { inFlight } = belief;
     const told = this.#told.get(target);
@@ -213,7 +213,7 @@
       ...{ target: target.hash, inFlight },
       slowdown: isHeard ? belief.lastSlowdown : undefined,
       age: isHeard ? now - belief.slowdownAt : 0,
-      ...(named && { named: { rate: named.rate, age: now - named.at } }),
+      ...(named && { advertisedRate: { rate: named.rate, age: now - named.at } }),
     };
   }
 }
--- a/src/gateway/targets/prober.ts
+++ b/src/gateway/targets/prober.ts
@@ -4,7 +4,7 @@
 import { computeProbeInterval } from '../../balance/index.js';
 import { type Clock, scheduleLagTolerantTimeout } from '../../kernel/index.js';
 import { decodeSelfReport } from '../../platform/index.js';
-import { BUSY } from '../../peering/index.js';
+import { HIGH_UTILISATION } from '../../peering/index.js';
 import type { RouteTable } from '../../routing/index.js';
 import type { GatewayTarget } from './target.js';
 import type { TargetService } from './target-service.js';
@@ -181,7 +181,7 @@
   }
 
   #isHurried(service: TargetService): boolean {
-    if (this.options.readBusy() >= BUSY) return false;
+    if (this.options.readBusy() >= HIGH_UTILISATION) return false;
     return this.options.clock.now() - service.queue.waitedAt < HURRY_TIME;
   }
 
--- a/src/gateway/targets/target.ts
+++ b/src/gateway/targets/target.ts
@@ -23,7 +23,7 @@
   ReportedRate,
   TargetRecord,
 } from '../../platform/index.js';
-import type { LoadShare } from '../../peering/index.js';
+import type { TargetLoadReport } from '../../peering/index.js';
 import type { ListedTarget } from '../../view/index.js';
 import { TargetConnections } from './connections.js';
 import { hashIncarnation } from './incarnation-hash.js';
@@ -396,7 +396,10 @@
   }
 
   /** Takes what another home knows of the target. */
-  noteShare(home: string, { inFlight, slowdown, age, named }: LoadShare): void {
+  noteShare(
+    home: string,
+    { inFlight, slowdown, age, advertisedRate: named }: TargetLoadReport,
+  ): void {
     const now = this.clock.now();
     if (named !== undefined) this.#takeRate({ rate: named.rate, at: now - named.age }, home);
     const before = this.belief.lastSlowdown;
--- a/src/peering/datagram.ts
+++ b/src/peering/datagram.ts
@@ -2,10 +2,10 @@
 import { decode, encode } from '@msgpack/msgpack';
 import type { BlamedRequest } from '../balance/poison.js';
 import type { KnownRevisions, ViewPosition } from '../view/index.js';
-import type { MemberState, MemberWord, Presence } from './roster.js';
+import type { MemberState, MemberStatus, Presence } from './roster.js';
 
 /** What a daemon says of itself in each question and answer. */
-export interface SelfWord extends MemberWord {
+export interface SelfStatus extends MemberStatus {
   readonly domain: string;
   readonly capacity: number;
   readonly isSenior: boolean;
@@ -18,34 +18,34 @@
   /** How long ago that was shown to be the newest, in milliseconds; Infinity when never. */
   readonly proofAge: number;
   /** The last reading of the store by a daemon itself that it knows of; undefined when it knows of none. */
-  readonly reading: Reading | undefined;
+  readonly lastRead: StoreRead | undefined;
   /** Up to which revisions it knows all changes. */
   readonly known: KnownRevisions;
   /** Differs when two daemons know other members. */
-  readonly members: number;
+  readonly membersFingerprint: number;
   /** How many homes it takes to be wanted; the first home's word counts. */
-  readonly homes: number;
+  readonly desiredHomes: number;
   /** What it heard itself from daemons that serve or may soon. */
   readonly presences: readonly Presence[];
   /** Requests under which targets ended, as far as they are news or held out. */
-  readonly cases: readonly CaseWord[];
+  readonly poisonReports: readonly PoisonReport[];
 }
 
 /** What a daemon tells of a request under which targets ended. */
-export interface CaseWord extends BlamedRequest {
+export interface PoisonReport extends BlamedRequest {
   /** How long ago the last of them ended, or it was answered, in milliseconds. */
   readonly age: number;
 }
 
 /** A reading of the store, by the daemon that made it. */
-export interface Reading {
+export interface StoreRead {
   readonly reader: string;
   /** How long ago, in milliseconds. */
   readonly age: number;
 }
 
 /** What one home knows of one target that the others do not. */
-export interface LoadShare {
+export interface TargetLoadReport {
   /** Stands for the target's incarnation. */
   readonly target: number;
   /** Calls that the home has in flight there. */
@@ -54,11 +54,11 @@
   readonly slowdown: number | undefined;
   readonly age: number;
   /** What the target told the home of the rate that it takes; undefined where that is no news. */
-  readonly named?: NamedShare;
+  readonly advertisedRate?: AdvertisedRateReport;
 }
 
 /** The rate that a target takes from all daemons together, as it told one of them. */
-export interface NamedShare {
+export interface AdvertisedRateReport {
   /** Requests a second; undefined when it names none any more. */
   readonly rate: number | undefined;
   /** How long ago it said so, in milliseconds. */
@@ -66,7 +66,7 @@
 }
 
 /** A target that has said that it drains. */
-export interface DrainingShare {
+export interface DrainingReport {
   /** Stands for the target's incarnation. */
   readonly target: number;
   /** How long ago it said so, in milliseconds. */
@@ -76,11 +76,11 @@
 /** A datagram. */
 export type Datagram =
   /** `asked` is how many daemons are asked in all, this one included. */
-  | { readonly kind: 'ask'; readonly self: SelfWord; readonly asked: number }
-  | { readonly kind: 'tell'; readonly self: SelfWord; readonly knowledge: Knowledge }
-  | { readonly kind: 'load'; readonly shares: readonly LoadShare[] }
-  | { readonly kind: 'cases'; readonly cases: readonly CaseWord[] }
-  | { readonly kind: 'draining'; readonly targets: readonly DrainingShare[] };
+  | { readonly kind: 'ask'; readonly self: SelfStatus; readonly asked: number }
+  | { readonly kind: 'tell'; readonly self: SelfStatus; readonly knowledge: Knowledge }
+  | { readonly kind: 'load'; readonly loadReports: readonly TargetLoadReport[] }
+  | { readonly kind: 'cases'; readonly poisonReports: readonly PoisonReport[] }
+  | { readonly kind: 'draining'; readonly targets: readonly DrainingReport[] };
 
 const STATES: readonly MemberState[] = ['starting', 'ready', 'stopping'];
 
@@ -117,8 +117,8 @@
 /** The part of a daemon's questions travels in hundredths. */
 const ASKER_STEPS = 100;
 
-function encodeSelf(self: SelfWord): readonly unknown[] {
-  const { domain, capacity, isSenior, state, busy, askers } = self;
+function encodeSelf(self: SelfStatus): readonly unknown[] {
+  const { domain, capacity, isSenior, state, utilisation: busy, pollers: askers } = self;
   return [
     ...[domain, capacity, STATES.indexOf(state), isSenior],
     ...[Math.round(busy * BUSY_STEPS), Math.round(askers * ASKER_STEPS)],
@@ -131,18 +131,22 @@
   ]);
 }
 
-function encodeCases(cases: readonly CaseWord[]): readonly unknown[] {
+function encodeCases(cases: readonly PoisonReport[]): readonly unknown[] {
   return cases.map(({ request, ended, releases, age }) => [
     ...[request, Math.max(0, Math.round(age)), ended, releases],
   ]);
 }
 
 /** Few shares name a rate, so those that do stand behind all, each with its place. */
-function encodeNamed(shares: readonly LoadShare[]): readonly unknown[] {
+function encodeNamed(shares: readonly TargetLoadReport[]): readonly unknown[] {
   const named = shares.flatMap((share, index) =>
-    share.named === undefined
+    share.advertisedRate === undefined
       ? []
-      : [index, share.named.rate ?? null, Math.max(0, Math.round(share.named.age))],
+      : [
+          index,
+          share.advertisedRate.rate ?? null,
+          Math.max(0, Math.round(share.advertisedRate.age)),
+        ],
   );
   return named.length === 0 ? [] : [named];
 }
@@ -153,26 +157,33 @@
     case 'ask':
       return encode([ASK, ...encodeSelf(datagram.self), datagram.asked]);
     case 'tell': {
-      const { position, proofAge, reading, known, members, homes } = datagram.knowledge;
+      const {
+        position,
+        proofAge,
+        lastRead: reading,
+        known,
+        membersFingerprint: members,
+        desiredHomes: homes,
+      } = datagram.knowledge;
       return encode([
         ...[TELL, ...encodeSelf(datagram.self), position.targets, position.configuration],
         ...[encodeAge(proofAge), known.targets, members, homes],
         ...[reading === undefined ? null : [encodeIp(reading.reader), encodeAge(reading.age)]],
         encodePresences(datagram.knowledge.presences.slice(0, MOST_PRESENCES)),
-        encodeCases(datagram.knowledge.cases),
+        encodeCases(datagram.knowledge.poisonReports),
         ...[position.evacuations, known.operators],
       ]);
     }
     case 'load':
       return encode([
         LOAD,
-        ...datagram.shares.flatMap(({ target, inFlight, slowdown, age }) => [
+        ...datagram.loadReports.flatMap(({ target, inFlight, slowdown, age }) => [
           ...[target, inFlight, Math.round((slowdown ?? 0) * SLOWDOWN_STEPS), Math.round(age)],
         ]),
-        ...encodeNamed(datagram.shares),
+        ...encodeNamed(datagram.loadReports),
       ]);
     case 'cases':
-      return encode([CASES, ...encodeCases(datagram.cases)]);
+      return encode([CASES, ...encodeCases(datagram.poisonReports)]);
     case 'draining': {
       const fields = datagram.targets.flatMap(({ target, age }) => [target, Math.round(age)]);
       return encode([DRAINING, ...fields]);
@@ -186,7 +197,7 @@
   return values.every((value) => typeof value === 'number');
 }
 
-function decodeSelf(fields: readonly unknown[]): SelfWord | undefined {
+function decodeSelf(fields: readonly unknown[]): SelfStatus | undefined {
   const [domain, capacity, state, isSenior, busy, askers] = fields;
   const known = STATES[Number(state)];
   if (typeof domain !== 'string' || typeof capacity !== 'number' || known === undefined) {
@@ -195,7 +206,7 @@
   if (typeof busy !== 'number' || typeof askers !== 'number') return undefined;
   return {
     ...{ domain, capacity, isSenior: isSenior === true, state: known },
-    ...{ busy: busy / BUSY_STEPS, askers: askers / ASKER_STEPS },
+    ...{ utilisation: busy / BUSY_STEPS, pollers: askers / ASKER_STEPS },
   };
 }
 
@@ -206,7 +217,7 @@
 const MOST_PRESENCES = 64;
 
 /** Reads a reading; undefined when it makes no sense, null when none is told. */
-function decodeReading(value: unknown): Reading | null | undefined {
+function decodeReading(value: unknown): StoreRead | null | undefined {
   if (value === null) return null;
   if (!Array.isArray(value) || !isNumbers(value) || value.length !== 2) return undefined;
   const [reader = 0, age = 0] = value;
@@ -231,9 +242,9 @@
 }
 
 /** Reads cases; undefined when one makes no sense. */
-function decodeCases(values: unknown): readonly CaseWord[] | undefined {
+function decodeCases(values: unknown): readonly PoisonReport[] | undefined {
   if (!Array.isArray(values)) return undefined;
-  const cases: CaseWord[] = [];
+  const cases: PoisonReport[] = [];
   for (const value of values as readonly unknown[]) {
     if (!Array.isArray(value)) return undefined;
     const [request, age, ended, releases] = value as readonly unknown[];
@@ -265,9 +276,14 @@
     ...{ kind: 'tell', self },
     knowledge: {
       position: { targets: numbers[0], configuration: numbers[1], evacuations: numbers[5] },
-      ...{ proofAge: proofAge ?? Infinity, reading: reading ?? undefined, presences, cases },
+      ...{
+        proofAge: proofAge ?? Infinity,
+        lastRead: reading ?? undefined,
+        presences,
+        poisonReports: cases,
+      },
       known: { targets: numbers[2], operators: numbers[6] },
-      ...{ members: numbers[3], homes: numbers[4] },
+      ...{ membersFingerprint: numbers[3], desiredHomes: numbers[4] },
     },
   };
 }
@@ -275,8 +291,10 @@
 const NAMED_LENGTH = 3;
 
 /** Reads the rates that shares name, by the place of the share; undefined when one makes no sense. */
-function decodeNamed(fields: readonly unknown[]): ReadonlyMap<number, NamedShare> | undefined {
-  const named = new Map<number, NamedShare>();
+function decodeNamed(
+  fields: readonly unknown[],
+): ReadonlyMap<number, AdvertisedRateReport> | undefined {
+  const named = new Map<number, AdvertisedRateReport>();
   if (fields.length % NAMED_LENGTH !== 0) return undefined;
   for (let at = 0; at < fields.length; at += NAMED_LENGTH) {
     const [index, rate, age] = fields.slice(at, at + NAMED_LENGTH);
@@ -293,19 +311,19 @@
   const named = decodeNamed(Array.isArray(last) ? last : []);
   if (numbers.length % SHARE_LENGTH !== 0 || !isNumbers(numbers)) return undefined;
   if (named === undefined) return undefined;
-  const shares: LoadShare[] = [];
+  const shares: TargetLoadReport[] = [];
   for (let at = 0; at < numbers.length; at += SHARE_LENGTH) {
     const [target, inFlight, steps, age] = numbers.slice(at, at + SHARE_LENGTH);
     const slowdown = steps === 0 ? undefined : steps / SLOWDOWN_STEPS;
     const told = named.get(shares.length);
-    shares.push({ target, inFlight, slowdown, age, ...(told && { named: told }) });
+    shares.push({ target, inFlight, slowdown, age, ...(told && { advertisedRate: told }) });
   }
-  return { kind: 'load', shares };
+  return { kind: 'load', loadReports: shares };
 }
 
 function decodeDraining(fields: readonly unknown[]): Datagram | undefined {
   if (!isNumbers(fields) || fields.length % 2 !== 0) return undefined;
-  const targets: DrainingShare[] = [];
+  const targets: DrainingReport[] = [];
   for (let at = 0; at < fields.length; at += 2) {
     const [target, age] = fields.slice(at, at + 2);
     if (!(age >= 0)) return undefined;
@@ -337,7 +355,7 @@
       return decodeLoad(fields);
     case CASES: {
       const cases = decodeCases(fields);
-      return cases && { kind: 'cases', cases };
+      return cases && { kind: 'cases', poisonReports: cases };
     }
     case DRAINING:
       return decodeDraining(fields);
--- a/src/peering/feed.ts
+++ b/src/peering/feed.ts
@@ -10,19 +10,19 @@
   isJsonObject,
   parseRequestUrl,
 } from '../kernel/index.js';
-import type { Evacuations, LeftTarget, ViewDelta, ViewPosition } from '../view/index.js';
+import type { Evacuations, RemovedTarget, ViewDelta, ViewPosition } from '../view/index.js';
 import type { TargetRecord } from '../platform/index.js';
 import type { MemberInfo } from './roster.js';
 
 /** What a daemon knows that asks another one what there is besides. */
-export interface FeedQuestion {
+export interface FeedRequest {
   readonly position: ViewPosition;
   /** The fingerprint of the members that it knows. */
   readonly members: number;
 }
 
 /** The answer of a feed. */
-export interface FeedAnswer {
+export interface FeedResponse {
   readonly delta: ViewDelta;
   /** The members; none are named when the other knows the same ones. */
   readonly members: readonly MemberInfo[];
@@ -49,7 +49,7 @@
   return isJsonObject(value) && isNumber(value.revision) && isRecord(value.record);
 }
 
-function isLeft(value: unknown): value is LeftTarget {
+function isLeft(value: unknown): value is RemovedTarget {
   return isJsonObject(value) && isText(value.incarnation) && isNumber(value.revision);
 }
 
@@ -82,7 +82,7 @@
 }
 
 /** Reads a feed's answer; undefined when any part of it makes no sense, so that none of it is taken. */
-export function parseFeedAnswer(value: unknown): FeedAnswer | undefined {
+export function parseFeedResponse(value: unknown): FeedResponse | undefined {
   if (!isJsonObject(value) || !isDelta(value.delta) || !Array.isArray(value.members))
     return undefined;
   return value.members.every(isMember) ? { delta: value.delta, members: value.members } : undefined;
@@ -118,7 +118,7 @@
 
 const startGzip = promisify(gzip);
 
-async function sendAnswer(response: http.ServerResponse, answer: FeedAnswer): Promise<void> {
+async function sendAnswer(response: http.ServerResponse, answer: FeedResponse): Promise<void> {
   const body = Buffer.from(JSON.stringify(answer));
   if (body.length < PACKED_FROM) {
     response.writeHead(200, { 'content-length': body.length });
@@ -136,7 +136,7 @@
 /** Starts to answer the feeds of others. */
 export function serveFeed(
   address: Address,
-  answer: (question: FeedQuestion) => FeedAnswer,
+  answer: (question: FeedRequest) => FeedResponse,
 ): Promise<http.Server> {
   const server = http.createServer({ keepAliveTimeout: 30_000 }, (request, response) => {
     const url = parseRequestUrl(request.url);
@@ -178,11 +178,11 @@
   constructor(
     private readonly clock: Clock,
     private readonly port: number,
-    private readonly take: (answer: FeedAnswer) => void,
+    private readonly take: (answer: FeedResponse) => void,
   ) {}
 
   /** Fetches the members that another daemon knows, unless that was done of late. */
-  async fetchMembers(ip: string, question: FeedQuestion): Promise<void> {
+  async fetchMembers(ip: string, question: FeedRequest): Promise<void> {
     const now = this.clock.now();
     if (now - this.#membersAt < this.#membersPace) return;
     this.#membersAt = now;
@@ -191,7 +191,7 @@
   }
 
   /** Fetches what changed after a position, unless that is under way already. */
-  async fetchNews(ip: string, question: FeedQuestion): Promise<boolean> {
+  async fetchChanges(ip: string, question: FeedRequest): Promise<boolean> {
     const now = this.clock.now();
     const most = question.position.targets === 0 ? FIRST_ASKED_AT_ONCE : ASKED_AT_ONCE;
     const isAsked = this.#fetching.size >= most && now - this.#startedAt < PATIENCE;
@@ -200,7 +200,7 @@
     return this.#fetch(ip, question);
   }
 
-  async #fetch(ip: string, { position, members }: FeedQuestion): Promise<boolean> {
+  async #fetch(ip: string, { position, members }: FeedRequest): Promise<boolean> {
     if (this.#fetching.has(ip)) return false;
     this.#fetching.add(ip);
     const query = Object.entries({ ...position, members }).map(([name, it]) => `${name}=${it}`);
@@ -211,7 +211,7 @@
         timeout: TIMEOUT,
       });
       if (reply.kind !== 'reply' || reply.status !== 200) return false;
-      const answer = parseFeedAnswer(reply.body);
+      const answer = parseFeedResponse(reply.body);
       if (answer === undefined) return false;
       this.take(answer);
       return true;
--- a/src/peering/home-plan.ts
+++ b/src/peering/home-scaler.ts
@@ -7,21 +7,21 @@
  *
  * The first home plans and tells; the others follow, so all name the same homes to callers.
  */
-import type { BusyHome } from './roster.js';
+import type { HomeUtilisation } from './roster.js';
 
 /** What the plan follows from. */
-export interface HomeLoad {
+export interface HomeScalerInput {
   /** Homes until now. */
   readonly homes: number;
   /** Homes that the settings ask for at least. */
-  readonly least: number;
+  readonly minHomes: number;
   /** How busy each home was of late. */
-  readonly busy: readonly BusyHome[];
+  readonly utilisations: readonly HomeUtilisation[];
   readonly now: number;
 }
 
 /** From this part on the time that work waits for the processor is longer than the work itself. */
-export const BUSY = 0.6;
+export const HIGH_UTILISATION = 0.6;
 
 /** One home fewer would still leave the others less busy than that. */
 const IDLE = 0.2;
@@ -36,10 +36,10 @@
 const IDLE_TIME = 15_000;
 
 /** The part of all cores that is at work: a weak home that is full says little of the others. */
-function measureMean(homes: readonly BusyHome[]): number {
+function measureMean(homes: readonly HomeUtilisation[]): number {
   let work = 0;
   let cores = 0;
-  for (const { busy, capacity } of homes) {
+  for (const { utilisation: busy, capacity } of homes) {
     work += busy * capacity;
     cores += capacity;
   }
@@ -47,16 +47,16 @@
 }
 
 /** The plan of the first home. */
-export class HomePlan {
+export class HomeScaler {
   #changedAt = -Infinity;
 
   #busyAt = -Infinity;
 
   /** Returns how many homes there should be. */
-  plan({ homes, least, busy, now }: HomeLoad): number {
+  plan({ homes, minHomes: least, utilisations: busy, now }: HomeScalerInput): number {
     const mean = measureMean(busy);
     if (mean >= IDLE) this.#busyAt = now;
-    if (mean >= BUSY && now - this.#changedAt >= SETTLE_TIME) {
+    if (mean >= HIGH_UTILISATION && now - this.#changedAt >= SETTLE_TIME) {
       this.#changedAt = now;
       return Math.ceil(homes * GROWTH);
     }
--- a/src/peering/peer-link.ts
+++ b/src/peering/peer-link.ts
@@ -6,39 +6,39 @@
 import dgram from 'node:dgram';
 import type { Address, Clock, Log } from '../kernel/index.js';
 import {
-  type CaseWord,
+  type PoisonReport,
   type Datagram,
-  type DrainingShare,
+  type DrainingReport,
   type Knowledge,
-  type LoadShare,
-  type SelfWord,
+  type TargetLoadReport,
+  type SelfStatus,
   decodeDatagram,
   encodeDatagram,
 } from './datagram.js';
-import type { NewsTimes } from '../view/index.js';
+import type { PropagationTimes } from '../view/index.js';
 import type { MemberInfo, MemberState, Roster } from './roster.js';
 
 /** What the link is made from. */
 export interface PeerLinkOptions {
   readonly address: Address;
   readonly readSelf: () => MemberInfo;
-  readonly selfState: () => MemberState;
+  readonly readSelfState: () => MemberState;
   /** The part of its time in which this daemon was at work of late, from 0 to 1. */
-  readonly readBusy: () => number;
+  readonly readUtilisation: () => number;
   readonly roster: Roster;
   readonly clock: Clock;
   readonly log: Log;
   /** How often others are asked. */
-  readonly readTimes: () => NewsTimes;
+  readonly readTimes: () => PropagationTimes;
   readonly readKnowledge: () => Knowledge;
   /** Called with what another daemon knows, as of the moment when it was asked. */
   readonly onKnowledge: (from: MemberInfo, knowledge: Knowledge) => void;
   /** Called with what another home knows of targets. */
-  readonly onShares: (from: string, shares: readonly LoadShare[]) => void;
+  readonly onLoadReports: (from: string, shares: readonly TargetLoadReport[]) => void;
   /** Called with targets that drain, as another daemon was told by them. */
-  readonly onDraining: (from: string, targets: readonly DrainingShare[]) => void;
+  readonly onDrainingReports: (from: string, targets: readonly DrainingReport[]) => void;
   /** Called with what another daemon tells of requests under which targets ended. */
-  readonly onCases: (from: string, cases: readonly CaseWord[]) => void;
+  readonly onPoisonReports: (from: string, cases: readonly PoisonReport[]) => void;
 }
 
 /** How often one of the daemons in the settings or the store that never answered is asked, in turn. */
@@ -94,9 +94,9 @@
     let forgetAt = clock.now() + FORGET_PACE;
     while (!signal.aborted) {
       const now = clock.now();
-      roster.note(this.options.readSelf());
+      roster.addMember(this.options.readSelf());
       const isNew = now - startedAt < FIRST_TIME;
-      const listed = isNew ? roster.listToAsk(FIRST_PACE) : roster.listToAsk();
+      const listed = isNew ? roster.listToPoll(FIRST_PACE) : roster.listToPoll();
       const asked = new Set(listed.map(({ ip }) => ip));
       this.#asked = asked.size + 1;
       const isAlone = !this.#isAnswered;
@@ -109,7 +109,8 @@
         roster.forgetSilent(new Set(this.#seeds));
       }
       for (const ip of asked) this.#ask(ip);
-      const { nearPace, remotePace } = this.options.readTimes();
+      const { nearPollInterval: nearPace, remotePollInterval: remotePace } =
+        this.options.readTimes();
       const pace = roster.isNearHomes() ? nearPace : remotePace;
       await clock.sleep(isNew ? FIRST_PACE : pace, signal);
     }
@@ -117,7 +118,7 @@
   }
 
   /** Whether it has heard from another daemon, or knows of none. */
-  get isInCompany(): boolean {
+  get hasJoined(): boolean {
     return this.#isAnswered || this.#seeds.length === 0;
   }
 
@@ -139,7 +140,7 @@
    * Counts the daemons that look to this one: each that asked of late counts as the part of its questions
    * that comes here, and so does this daemon itself. Over all daemons the counts sum up to the fleet.
    */
-  countAskers(): number {
+  countPollers(): number {
     const now = this.options.clock.now();
     let askers = 1 / this.#asked;
     for (const { at, asked } of this.#askers.values()) {
@@ -152,7 +153,7 @@
    * Counts the daemons that look to this one as a home. A daemon that is no home sends nothing where homes share a
    * rate, so what it asks itself counts for those that it asks; over all homes the counts sum up to the fleet.
    */
-  countLookers(): number {
+  countHomePollers(): number {
     const now = this.options.clock.now();
     const homes = new Set(this.options.roster.listHomes().map(({ ip }) => ip));
     let lookers = homes.has(this.options.readSelf().ip) ? 1 / this.#asked : 0;
@@ -163,7 +164,7 @@
   }
 
   /** Tells everybody who asked of late how things are now, without being asked. */
-  tellAll(): void {
+  pushToPollers(): void {
     const now = this.options.clock.now();
     for (const [ip, { at }] of this.#askers) {
       if (now - at < ASKER_LIFE) this.#tell(ip);
@@ -171,24 +172,24 @@
   }
 
   /** Tells another home what this one knows of targets. */
-  sendShares(ip: string, shares: readonly LoadShare[]): void {
-    this.#send(ip, { kind: 'load', shares });
+  sendLoadReports(ip: string, shares: readonly TargetLoadReport[]): void {
+    this.#send(ip, { kind: 'load', loadReports: shares });
   }
 
   /** Tells another daemon of targets that drain. */
-  sendDraining(ip: string, targets: readonly DrainingShare[]): void {
+  sendDrainingReports(ip: string, targets: readonly DrainingReport[]): void {
     this.#send(ip, { kind: 'draining', targets });
   }
 
   /** Tells another daemon of requests under which targets ended. */
-  sendCases(ip: string, cases: readonly CaseWord[]): void {
-    this.#send(ip, { kind: 'cases', cases });
+  sendPoisonReports(ip: string, cases: readonly PoisonReport[]): void {
+    this.#send(ip, { kind: 'cases', poisonReports: cases });
   }
 
-  #describeSelf(): SelfWord {
+  #describeSelf(): SelfStatus {
     const { domain, capacity, isSenior } = this.options.readSelf();
-    const { selfState, readBusy } = this.options;
-    const word = { state: selfState(), busy: readBusy(), askers: this.countAskers() };
+    const { readSelfState: selfState, readUtilisation: readBusy } = this.options;
+    const word = { state: selfState(), utilisation: readBusy(), pollers: this.countPollers() };
     return { domain, capacity, isSenior, ...word };
   }
 
@@ -211,15 +212,22 @@
   }
 
   #take(bytes: Uint8Array, ip: string): void {
-    const { roster, clock, onKnowledge, onShares, onCases, onDraining } = this.options;
+    const {
+      roster,
+      clock,
+      onKnowledge,
+      onLoadReports: onShares,
+      onPoisonReports: onCases,
+      onDrainingReports: onDraining,
+    } = this.options;
     const datagram = decodeDatagram(bytes);
     if (datagram === undefined) return;
     if (datagram.kind === 'load') {
-      onShares(ip, datagram.shares);
+      onShares(ip, datagram.loadReports);
       return;
     }
     if (datagram.kind === 'cases') {
-      onCases(ip, datagram.cases);
+      onCases(ip, datagram.poisonReports);
       return;
     }
     if (datagram.kind === 'draining') {
@@ -229,26 +237,26 @@
     const { domain, capacity, isSenior } = datagram.self;
     const info = { ip, domain, capacity, isSenior };
     if (datagram.kind === 'ask') {
-      roster.note(info);
+      roster.addMember(info);
       this.#askers.set(ip, { at: clock.now(), asked: datagram.asked });
       this.#tell(ip);
       return;
     }
-    roster.hear(info, datagram.self);
+    roster.recordStatus(info, datagram.self);
     this.#isAnswered = true;
     if (this.#seeds.includes(ip)) this.#seeds = this.#seeds.filter((seed) => seed !== ip);
     // The answer may have been on its way since the question was sent.
     const travelled = clock.now() - (this.#askedAt.get(ip) ?? clock.now());
     const { knowledge } = datagram;
-    const { reading, presences } = knowledge;
-    if (knowledge.cases.length > 0) onCases(ip, knowledge.cases);
+    const { lastRead: reading, presences } = knowledge;
+    if (knowledge.poisonReports.length > 0) onCases(ip, knowledge.poisonReports);
     for (const presence of presences) {
-      roster.hearOf({ ...presence, age: presence.age + travelled });
+      roster.mergePresence({ ...presence, age: presence.age + travelled });
     }
     onKnowledge(info, {
       ...knowledge,
       proofAge: knowledge.proofAge + travelled,
-      reading: reading && { ...reading, age: reading.age + travelled },
+      lastRead: reading && { ...reading, age: reading.age + travelled },
     });
   }
 }
--- a/src/peering/reader-duty.ts
+++ b/src/peering/reader-role.ts
@@ -6,7 +6,7 @@
  * the configuration, which nobody else keeps meanwhile.
  */
 import type { Clock } from '../kernel/index.js';
-import type { NewsTimes } from '../view/index.js';
+import type { PropagationTimes } from '../view/index.js';
 
 /**
  * A daemon that has just begun to serve knows of nobody else who does, and takes itself for a first home, until it
@@ -15,9 +15,9 @@
 const HEARING_TIME = 400;
 
 /** Whose duty reading is. */
-export interface ReaderPlace {
+export interface ReaderEligibility {
   /** Whether this daemon is one of the homes that read for all. */
-  readonly isAppointed: () => boolean;
+  readonly isDesignated: () => boolean;
   /** Whether it is a home, or would be one soon. */
   readonly isNearHomes: () => boolean;
 }
@@ -29,7 +29,7 @@
 }
 
 /** The duty of one daemon. */
-export class ReaderDuty {
+export class ReaderRole {
   #told: ToldReading | undefined;
 
   #toldAt: number;
@@ -41,58 +41,61 @@
   /** @param patience how long a daemon that starts waits to be told, in milliseconds */
   constructor(
     private readonly clock: Clock,
-    private readonly place: ReaderPlace,
-    private readonly readTimes: () => NewsTimes,
+    private readonly place: ReaderEligibility,
+    private readonly readTimes: () => PropagationTimes,
     patience = 0,
   ) {
-    this.#toldAt = clock.now() - readTimes().nearStale + patience;
+    this.#toldAt = clock.now() - readTimes().nearMaxStaleness + patience;
   }
 
   /** The last reading by another daemon that is known of; it may be passed on. */
-  get told(): ToldReading | undefined {
+  get lastRemoteRead(): ToldReading | undefined {
     return this.#told;
   }
 
   /** Notes that another daemon had read the store itself at a moment, as it said or somebody passed on. */
-  noteTold(reader: string, at: number): void {
+  recordRemoteRead(reader: string, at: number): void {
     if (at <= this.#toldAt) return;
     this.#toldAt = at;
     this.#told = { reader, at };
   }
 
   /** Notes that another daemon answered, whatever it knows. */
-  noteHeard(): void {
+  recordAnswer(): void {
     this.#heardAt = this.clock.now();
   }
 
   /** Notes that this daemon begins to serve. */
-  noteServing(): void {
+  recordServing(): void {
     this.#servesSince = this.clock.now();
   }
 
   /** Whether this daemon reads now. */
   isReader(): boolean {
     const now = this.clock.now();
-    if (this.readDueIn() <= 0) return true;
-    return now - this.#servesSince >= HEARING_TIME && this.place.isAppointed();
+    if (this.getReadDelay() <= 0) return true;
+    return now - this.#servesSince >= HEARING_TIME && this.place.isDesignated();
   }
 
   /** Time until this daemon reads for itself unless it is told of a reading, in milliseconds. */
-  readDueIn(): number {
-    const { nearStale, remoteStale } = this.readTimes();
+  getReadDelay(): number {
+    const { nearMaxStaleness: nearStale, remoteMaxStaleness: remoteStale } = this.readTimes();
     return this.#toldAt + (this.#isRemote() ? remoteStale : nearStale) - this.clock.now();
   }
 
   /** The longest pause after a call that the store did not answer, in milliseconds. */
-  readLongestPause(): number {
-    const { longestPause, longestRemotePause } = this.readTimes();
+  getMaxBackoff(): number {
+    const { maxBackoff: longestPause, maxRemoteBackoff: longestRemotePause } = this.readTimes();
     return this.#isRemote() ? longestRemotePause : longestPause;
   }
 
   /** Whether others are there that read before this daemon has to. */
   #isRemote(): boolean {
     const now = this.clock.now();
-    if (this.#servesSince === Infinity || now - this.#heardAt >= this.readTimes().nearStale) {
+    if (
+      this.#servesSince === Infinity ||
+      now - this.#heardAt >= this.readTimes().nearMaxStaleness
+    ) {
       return false;
     }
     return !this.place.isNearHomes();
--- a/src/peering/roster.ts
+++ b/src/peering/roster.ts
@@ -34,18 +34,18 @@
 }
 
 /** What a daemon says of itself when it answers. */
-export interface MemberWord {
+export interface MemberStatus {
   readonly state: MemberState;
   /** The part of its time in which it was at work of late, from 0 to 1. */
-  readonly busy: number;
+  readonly utilisation: number;
   /** How many daemons look to it, each counted as the part of its questions that go there. */
-  readonly askers: number;
+  readonly pollers: number;
 }
 
 /** How busy one home is. */
-export interface BusyHome {
+export interface HomeUtilisation {
   /** The part of its time in which it was at work of late, from 0 to 1. */
-  readonly busy: number;
+  readonly utilisation: number;
   /** Its cores. */
   readonly capacity: number;
 }
@@ -67,11 +67,11 @@
 export interface RosterOptions {
   readonly clock: Clock;
   readonly self: MemberInfo;
-  readonly selfState: () => MemberState;
+  readonly readSelfState: () => MemberState;
   /** How many homes there are, at least. */
-  readonly homes: number;
+  readonly minHomes: number;
   /** Cores that the homes have to bring together. */
-  readonly capacity: number;
+  readonly minHomeCapacity: number;
 }
 
 /** A daemon that has not answered for this long is not counted on: five questions, as datagrams get lost. */
@@ -129,7 +129,7 @@
   #domains = 0;
 
   constructor(private readonly options: RosterOptions) {
-    this.note(options.self);
+    this.addMember(options.self);
   }
 
   /** Everybody known, this daemon included. */
@@ -148,7 +148,7 @@
   }
 
   /** Learns that a daemon exists; its own word replaces what others say. */
-  note(info: MemberInfo): void {
+  addMember(info: MemberInfo): void {
     const known = this.#members.get(info.ip);
     if (known === undefined) {
       this.#ranked = undefined;
@@ -165,8 +165,11 @@
   }
 
   /** Learns that a daemon answered, and what it said of itself. */
-  hear(info: MemberInfo, { state, busy, askers }: MemberWord): void {
-    this.note(info);
+  recordStatus(
+    info: MemberInfo,
+    { state, utilisation: busy, pollers: askers }: MemberStatus,
+  ): void {
+    this.addMember(info);
     const member = this.#members.get(info.ip);
     if (member === undefined) return;
     member.heardAt = this.options.clock.now();
@@ -178,7 +181,7 @@
   }
 
   /** Learns what another daemon heard; what was heard later, here or there, holds. */
-  hearOf({ ip, state, age }: Presence): void {
+  mergePresence({ ip, state, age }: Presence): void {
     const member = this.#members.get(ip);
     const heardAt = this.options.clock.now() - age;
     if (member === undefined || heardAt <= member.heardAt) return;
@@ -202,30 +205,33 @@
    * How many homes are wanted for the load; the settings' own number holds where it is larger, and so does one
    * home in each failure domain: it probes the targets there, and callers there reach it without crossing.
    */
-  get wanted(): number {
+  get desiredHomes(): number {
     this.#rank();
-    return Math.max(this.options.homes, this.#wanted, this.#domains);
+    return Math.max(this.options.minHomes, this.#wanted, this.#domains);
   }
 
   /** How many machines are strong enough to be planned as homes. */
-  countStrong(): number {
+  countHomeCandidates(): number {
     const capacities = this.list().map(({ capacity }) => capacity);
     const strongest = Math.max(...capacities);
     return capacities.filter((capacity) => capacity >= STRONG_PART * strongest).length;
   }
 
   /** Takes the plan of the first home. */
-  setWanted(homes: number): void {
+  setDesiredHomes(homes: number): void {
     this.#wanted = homes;
   }
 
   /** How busy the other homes are, and of how many cores. */
-  listBusy(): readonly BusyHome[] {
-    return this.#listOtherHomes().map(({ busy, info }) => ({ busy, capacity: info.capacity }));
+  listHomeUtilisations(): readonly HomeUtilisation[] {
+    return this.#listOtherHomes().map(({ busy, info }) => ({
+      utilisation: busy,
+      capacity: info.capacity,
+    }));
   }
 
   /** How many daemons look to the other homes that answer here. */
-  countTheirAskers(): number {
+  countPollersOfOtherHomes(): number {
     const since = this.options.clock.now() - SILENCE;
     return this.#listOtherHomes().reduce(
       (sum, { askers, answeredAt }) => (answeredAt >= since ? sum + askers : sum),
@@ -238,7 +244,7 @@
     const homes: MemberInfo[] = [];
     let capacity = 0;
     for (const info of this.#rank()) {
-      if (homes.length >= this.wanted && capacity >= this.options.capacity) break;
+      if (homes.length >= this.desiredHomes && capacity >= this.options.minHomeCapacity) break;
       if (!this.#isServing(info)) continue;
       homes.push(info);
       capacity += info.capacity;
@@ -249,7 +255,7 @@
   /** Whether this daemon is a home or would be the next one: such know of each other at first hand. */
   isNearHomes(): boolean {
     let serving = 0;
-    const wanted = this.wanted + SUCCESSORS;
+    const wanted = this.desiredHomes + SUCCESSORS;
     for (const info of this.#rank()) {
       if (info.ip === this.options.self.ip) return true;
       if (this.#isServing(info)) serving += 1;
@@ -264,7 +270,7 @@
    *
    * @param absentPace time between two questions to one that does not answer, in milliseconds
    */
-  listToAsk(absentPace = ABSENT_PACE): readonly MemberInfo[] {
+  listToPoll(absentPace = ABSENT_PACE): readonly MemberInfo[] {
     const isNear = this.isNearHomes();
     const wanted = isNear ? this.listHomes().length + SUCCESSORS : INFORMANTS;
     const now = this.options.clock.now();
@@ -327,7 +333,7 @@
   }
 
   #isServing(info: MemberInfo): boolean {
-    if (info.ip === this.options.self.ip) return this.options.selfState() === 'ready';
+    if (info.ip === this.options.self.ip) return this.options.readSelfState() === 'ready';
     const member = this.#members.get(info.ip);
     if (member === undefined || member.state !== 'ready') return false;
     return this.options.clock.now() - member.heardAt <= SILENCE;
--- a/src/routing/route.ts
+++ b/src/routing/route.ts
@@ -62,7 +62,7 @@
     services: readonly ServiceSpec[],
     readonly limits: RequestLimits,
     /** Parts that could not be read; what stands in for them is in force. */
-    readonly remarks: readonly string[] = [],
+    readonly warnings: readonly string[] = [],
   ) {
     const byLength = (a: Route, b: Route) => b.pathPrefix.length - a.pathPrefix.length;
     this.#routes = new Map(
--- a/src/routing/split.ts
+++ b/src/routing/split.ts
@@ -10,7 +10,7 @@
  * Deals the requests of each route over its shares by smooth weighted round robin: after n requests
  * each share has had its part of n to within one, so the sum over all daemons is exact as well.
  */
-export class SplitDealer {
+export class TrafficSplitter {
   readonly #turns = new Map<string, readonly Turn[]>();
 
   /** @param draw returns a number in [0, 1); it sets where each daemon begins */
--- a/src/view/fleet-view.ts
+++ b/src/view/fleet-view.ts
@@ -17,7 +17,7 @@
 }
 
 /** A target that left the list, and the revision at which it did. */
-export interface LeftTarget {
+export interface RemovedTarget {
   readonly incarnation: string;
   readonly revision: number;
 }
@@ -59,7 +59,7 @@
   readonly configuration?: { readonly text: string; readonly revision: number };
   readonly evacuations?: Evacuations;
   readonly targets: readonly { readonly record: TargetRecord; readonly revision: number }[];
-  readonly left: readonly LeftTarget[];
+  readonly left: readonly RemovedTarget[];
 }
 
 /** What is told when something changed. */
@@ -103,7 +103,7 @@
 
   readonly #targets = new Map<string, ListedTarget>();
 
-  #left: readonly LeftTarget[] = [];
+  #left: readonly RemovedTarget[] = [];
 
   readonly #leftAt = new Map<string, number>();
 
@@ -159,12 +159,12 @@
   }
 
   /** Notes that at time `at` the store held no newer change of a target or of what the operators keep. */
-  prove(at: number): void {
+  recordProof(at: number): void {
     this.#provenAt = Math.max(this.#provenAt, at);
   }
 
   /** Notes up to which revisions all changes are known. */
-  noteKnown({ targets = 0, operators = 0 }: Partial<KnownRevisions>): void {
+  advanceKnown({ targets = 0, operators = 0 }: Partial<KnownRevisions>): void {
     this.#known = {
       targets: Math.max(this.#known.targets, targets),
       operators: Math.max(this.#known.operators, operators),
@@ -192,7 +192,7 @@
     }
     if (this.#table !== undefined && table.version <= this.#table.version) return;
     this.#table = table;
-    for (const remark of table.remarks) this.listener.onFault(remark);
+    for (const remark of table.warnings) this.listener.onFault(remark);
     this.listener.onTable(table);
   }
 
--- a/src/view/news-times.ts
+++ b/src/view/propagation-times.ts
@@ -11,32 +11,32 @@
  */
 
 /** Times in milliseconds. */
-export interface NewsTimes {
+export interface PropagationTimes {
   /** How long one watch waits: news come at once, and its end shows that there were none. */
-  readonly watchWait: number;
+  readonly watchTimeout: number;
   /** When no reading younger than this is known of, a daemon near the homes reads for itself. */
-  readonly nearStale: number;
+  readonly nearMaxStaleness: number;
   /** The same for a daemon that is told by others and is not near the homes, which read before it has to. */
-  readonly remoteStale: number;
+  readonly remoteMaxStaleness: number;
   /** How often homes and their successors ask one another. */
-  readonly nearPace: number;
+  readonly nearPollInterval: number;
   /** How often the others ask the daemons that they report to. */
-  readonly remotePace: number;
+  readonly remotePollInterval: number;
   /** The longest pause of a daemon that reads, after a call that the store did not answer. */
-  readonly longestPause: number;
+  readonly maxBackoff: number;
   /** The same for one whose homes try as well. */
-  readonly longestRemotePause: number;
+  readonly maxRemoteBackoff: number;
 }
 
 /** Parts of the promised time. */
-const PARTS: NewsTimes = {
-  watchWait: 0.35,
-  nearStale: 0.5,
-  remoteStale: 0.75,
-  nearPace: 0.05,
-  remotePace: 0.125,
-  longestPause: 0.5,
-  longestRemotePause: 1.25,
+const PARTS: PropagationTimes = {
+  watchTimeout: 0.35,
+  nearMaxStaleness: 0.5,
+  remoteMaxStaleness: 0.75,
+  nearPollInterval: 0.05,
+  remotePollInterval: 0.125,
+  maxBackoff: 0.5,
+  maxRemoteBackoff: 1.25,
 };
 
 /** Presence is told by the same questions, so they come no more slowly than this, whatever is promised. */
@@ -54,34 +54,37 @@
 const SHORTEST_PROMISE = 500;
 
 /** Plans the times. @param promised the time within which a change is to be in force everywhere, in milliseconds */
-export function planNews(promised: number): NewsTimes {
+export function planPropagation(promised: number): PropagationTimes {
   const time = Math.max(SHORTEST_PROMISE, Math.min(LONGEST_PROMISE, promised));
   return {
-    watchWait: PARTS.watchWait * time,
-    nearStale: PARTS.nearStale * time,
-    remoteStale: PARTS.remoteStale * time,
-    nearPace: Math.min(SLOWEST_NEAR_PACE, PARTS.nearPace * time),
-    remotePace: Math.min(SLOWEST_REMOTE_PACE, PARTS.remotePace * time),
-    longestPause: Math.min(LONGEST_PAUSE, PARTS.longestPause * time),
-    longestRemotePause: Math.min(LONGEST_REMOTE_PAUSE, PARTS.longestRemotePause * time),
+    watchTimeout: PARTS.watchTimeout * time,
+    nearMaxStaleness: PARTS.nearMaxStaleness * time,
+    remoteMaxStaleness: PARTS.remoteMaxStaleness * time,
+    nearPollInterval: Math.min(SLOWEST_NEAR_PACE, PARTS.nearPollInterval * time),
+    remotePollInterval: Math.min(SLOWEST_REMOTE_PACE, PARTS.remotePollInterval * time),
+    maxBackoff: Math.min(LONGEST_PAUSE, PARTS.maxBackoff * time),
+    maxRemoteBackoff: Math.min(LONGEST_REMOTE_PAUSE, PARTS.maxRemoteBackoff * time),
   };
 }
 
 /** What the platform and the machines add to a way, in milliseconds. */
-export interface WayDelays {
+export interface NetworkDelays {
   /** One way between two daemons, until what was sent is looked at. */
   readonly hop: number;
   /** From a call to the store to its answer. */
-  readonly call: number;
+  readonly storeCall: number;
 }
 
 /** Hops of a question, its answer, a connection for the fetch, and the fetch. */
 const HOPS_OF_NEWS = 6;
 
 /** Computes how long after a change the last daemon has it, when those that read for all turned silent just before. */
-export function computeLongestWay(times: NewsTimes, { hop, call }: WayDelays): number {
-  const near = times.nearStale + call;
-  const told = near + times.nearPace + times.remotePace + 2 * HOPS_OF_NEWS * hop;
-  const alone = times.remoteStale + call;
+export function computeMaxPropagationDelay(
+  times: PropagationTimes,
+  { hop, storeCall: call }: NetworkDelays,
+): number {
+  const near = times.nearMaxStaleness + call;
+  const told = near + times.nearPollInterval + times.remotePollInterval + 2 * HOPS_OF_NEWS * hop;
+  const alone = times.remoteMaxStaleness + call;
   return Math.max(near, Math.min(told, alone));
 }
--- a/src/view/store-reader.ts
+++ b/src/view/store-reader.ts
@@ -26,11 +26,11 @@
   /** Whether this daemon is to read now; others hear from readers. */
   readonly isReader: () => boolean;
   /** Time until this daemon is to read unless it is told of a reading, in milliseconds. */
-  readonly readDueIn: () => number;
+  readonly getReadDelay: () => number;
   /** The longest pause after a call that the store did not answer, in milliseconds. */
-  readonly readLongestPause: () => number;
+  readonly getMaxBackoff: () => number;
   /** How long one watch waits, in milliseconds. */
-  readonly readWatchWait: () => number;
+  readonly getWatchTimeout: () => number;
 }
 
 const NO_WAIT = 1;
@@ -100,12 +100,12 @@
   constructor(private readonly options: StoreReaderOptions) {}
 
   /** The last moment at which this daemon itself saw that the store held nothing newer. */
-  get readAt(): number {
+  get lastReadAt(): number {
     return this.#readAt;
   }
 
   /** Entries of targets and keys of the operators that can't be decoded now. */
-  get unreadable(): number {
+  get unreadableCount(): number {
     return this.#unreadable.size + this.#unreadableKeys.size;
   }
 
@@ -116,7 +116,7 @@
 
   /** Reads until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
-    const { clock, isReader, random, readLongestPause } = this.options;
+    const { clock, isReader, random, getMaxBackoff: readLongestPause } = this.options;
     const backoff = new Backoff(random, readLongestPause);
     while (!signal.aborted) {
       this.#settlePending();
@@ -139,7 +139,7 @@
   }
 
   #chooseIdleTime(): number {
-    const { view, readDueIn } = this.options;
+    const { view, getReadDelay: readDueIn } = this.options;
     const pace = view.provenAt === -Infinity ? START_PACE : IDLE_PACE;
     return Math.max(1, Math.min(pace, readDueIn()));
   }
@@ -185,15 +185,15 @@
    */
   #chooseWait(now: number): number {
     if (this.#failingSince !== undefined) return NO_WAIT;
-    const wait = this.options.readWatchWait();
+    const wait = this.options.getWatchTimeout();
     return Math.max(NO_WAIT, Math.min(wait, this.#readAt + wait - now));
   }
 
   #prove(at: number): void {
     const { view } = this.options;
     this.#readAt = Math.max(this.#readAt, at);
-    view.prove(at);
-    view.noteKnown({ targets: this.#after, operators: this.#after });
+    view.recordProof(at);
+    view.advanceKnown({ targets: this.#after, operators: this.#after });
   }
 
   /** Reads everything; what changes meanwhile comes by the watch from the first page on. */
--- a/test/feed.test.ts
+++ b/test/feed.test.ts
@@ -44,12 +44,12 @@
     const client = new FeedClient(new ManualClock(), port, ({ delta }) =>
       heard.push(...delta.left.map(({ incarnation }) => incarnation)),
     );
-    const silent = client.fetchNews('127.0.8.1', QUESTION);
+    const silent = client.fetchChanges('127.0.8.1', QUESTION);
     const startedAt = performance.now();
-    expect(await client.fetchNews('127.0.8.2', QUESTION)).to.equal(true);
+    expect(await client.fetchChanges('127.0.8.2', QUESTION)).to.equal(true);
     expect(performance.now() - startedAt).to.be.lessThan(400);
     expect(heard).to.deep.equal(['127.0.8.2']);
-    expect(await client.fetchNews('127.0.8.1', QUESTION)).to.equal(false);
+    expect(await client.fetchChanges('127.0.8.1', QUESTION)).to.equal(false);
     client.close();
     await silent;
   });
@@ -70,7 +70,7 @@
       }));
       servers.push(server);
       const client = new FeedClient(clock, address.port, ({ delta }) => heard.push(delta.left));
-      expect(await client.fetchNews(address.host, QUESTION)).to.equal(true);
+      expect(await client.fetchChanges(address.host, QUESTION)).to.equal(true);
       const bytes = await new Promise<number>((resolve) => {
         http.get({ ...address, path: '/feed?targets=1', agent: false }, (response) => {
           response.resume();
@@ -94,10 +94,10 @@
     const first = { ...QUESTION, position: { targets: 0, configuration: 0, evacuations: 0 } };
     const clock = new ManualClock();
     const client = new FeedClient(clock, port, () => undefined);
-    const silent = client.fetchNews('127.0.8.1', first);
-    expect(await client.fetchNews('127.0.8.2', first)).to.equal(false);
+    const silent = client.fetchChanges('127.0.8.1', first);
+    expect(await client.fetchChanges('127.0.8.2', first)).to.equal(false);
     await clock.advance(160);
-    expect(await client.fetchNews('127.0.8.2', first)).to.equal(true);
+    expect(await client.fetchChanges('127.0.8.2', first)).to.equal(true);
     client.close();
     await silent;
   });
--- a/test/helpers/news-fleet.ts
+++ b/test/helpers/news-fleet.ts
@@ -9,9 +9,9 @@
   type StoredItem,
   type WatchAnswer,
 } from '../../src/platform/index.js';
-import { type FeedQuestion, ReaderDuty, Roster } from '../../src/peering/index.js';
+import { type FeedRequest, ReaderRole, Roster } from '../../src/peering/index.js';
 import { writeConfiguration, writeTarget } from '../../src/standin/index.js';
-import { FleetView, StoreReader, planNews } from '../../src/view/index.js';
+import { FleetView, StoreReader, planPropagation } from '../../src/view/index.js';
 
 /** Within this time of its acknowledgement a change is to be in force, in milliseconds. */
 export const PROMISE = 2000;
@@ -153,26 +153,32 @@
       onFault: () => undefined,
     });
     const { view } = this;
-    this.roster = new Roster({ clock, self, selfState: () => 'ready', homes: 3, capacity: 1 });
-    const duty = new ReaderDuty(
+    this.roster = new Roster({
+      clock,
+      self,
+      readSelfState: () => 'ready',
+      minHomes: 3,
+      minHomeCapacity: 1,
+    });
+    const duty = new ReaderRole(
       clock,
       {
-        isAppointed: () => this.isReader,
+        isDesignated: () => this.isReader,
         isNearHomes: () => this.roster.isNearHomes(),
       },
       () => fleet.times,
     );
-    duty.noteServing();
+    duty.recordServing();
     this.#reader = new StoreReader({
       ...{ store: fleet.store.createReader(ip), view, clock, log: createSilentLog() },
       ...{ random: createSeededRandom(seed), isReader: () => duty.isReader() },
-      ...{ readLongestPause: () => duty.readLongestPause(), readDueIn: () => duty.readDueIn() },
-      readWatchWait: () => fleet.times.watchWait,
+      ...{ getMaxBackoff: () => duty.getMaxBackoff(), getReadDelay: () => duty.getReadDelay() },
+      getWatchTimeout: () => fleet.times.watchTimeout,
     });
     this.#exchange = new KnowledgeExchange({
       ...{ clock, self: ip, view, roster: this.roster, reader: this.#reader, duty },
       feed: {
-        fetchNews: (from: string, question: FeedQuestion) => fleet.fetch(this, from, question),
+        fetchChanges: (from: string, question: FeedRequest) => fleet.fetch(this, from, question),
         fetchMembers: () => Promise.resolve(true),
       } as never,
       listCases: () => [],
@@ -193,10 +199,10 @@
   async #askOn(signal: AbortSignal): Promise<void> {
     const { clock } = this.fleet;
     while (!signal.aborted) {
-      for (const { ip } of this.roster.listToAsk()) {
+      for (const { ip } of this.roster.listToPoll()) {
         this.#ask(ip).catch(() => undefined);
       }
-      const { nearPace, remotePace } = this.fleet.times;
+      const { nearPollInterval: nearPace, remotePollInterval: remotePace } = this.fleet.times;
       await clock.sleep(this.roster.isNearHomes() ? nearPace : remotePace, signal);
     }
   }
@@ -212,16 +218,16 @@
     await this.fleet.pass();
     if (this.isGone) return;
     const travelled = clock.now() - askedAt;
-    this.roster.hear({ ip, domain: other.domain, capacity: 1, isSenior: true }, IDLE);
+    this.roster.recordStatus({ ip, domain: other.domain, capacity: 1, isSenior: true }, IDLE);
     for (const presence of presences) {
-      this.roster.hearOf({ ...presence, age: presence.age + travelled });
+      this.roster.mergePresence({ ...presence, age: presence.age + travelled });
     }
-    const { reading, proofAge } = knowledge;
+    const { lastRead: reading, proofAge } = knowledge;
     await this.#exchange.hear(
       { ip, domain: other.domain, capacity: 1, isSenior: true },
       {
         ...{ ...knowledge, proofAge: proofAge + travelled },
-        reading: reading && { ...reading, age: reading.age + travelled },
+        lastRead: reading && { ...reading, age: reading.age + travelled },
       },
     );
   }
@@ -231,13 +237,13 @@
   }
 }
 
-const IDLE = { state: 'ready', busy: 0, askers: 0 } as const;
+const IDLE = { state: 'ready', utilisation: 0, pollers: 0 } as const;
 
 /** Nine daemons in three failure domains, and their store. */
 export class NewsFleet {
   readonly clock = new ManualClock();
 
-  readonly times = planNews(PROMISE);
+  readonly times = planPropagation(PROMISE);
 
   readonly store: NewsStore;
 
@@ -257,8 +263,8 @@
     this.daemons = ips.map((ip, index) => new NewsDaemon(ip, this, 10 * seed + index));
     for (const { roster } of this.daemons) {
       for (const { ip, domain } of this.daemons) {
-        roster.note({ ip, domain, capacity: 1, isSenior: true });
-        roster.hear({ ip, domain, capacity: 1, isSenior: true }, IDLE);
+        roster.addMember({ ip, domain, capacity: 1, isSenior: true });
+        roster.recordStatus({ ip, domain, capacity: 1, isSenior: true }, IDLE);
       }
     }
     setMaxListeners(0, this.#running.signal);
@@ -291,7 +297,7 @@
     await this.clock.sleep(link + lag);
   }
 
-  async fetch(to: NewsDaemon, from: string, { position }: FeedQuestion): Promise<boolean> {
+  async fetch(to: NewsDaemon, from: string, { position }: FeedRequest): Promise<boolean> {
     const other = this.find(from);
     const startedAt = this.clock.now();
     // The first two ways open the connection.
--- a/test/homes.test.ts
+++ b/test/homes.test.ts
@@ -2,48 +2,50 @@
 import { BusyMeter } from '../src/gateway/fleet/busy-meter.js';
 import { HomePlanner } from '../src/gateway/fleet/home-planner.js';
 import { ManualClock } from '../src/kernel/index.js';
-import { type BusyHome, HomePlan, Roster } from '../src/peering/index.js';
+import { type HomeUtilisation, HomeScaler, Roster } from '../src/peering/index.js';
 
 /** Homes of half a core each. */
-function makeBusy(...parts: readonly number[]): readonly BusyHome[] {
-  return parts.map((busy) => ({ busy, capacity: 0.5 }));
+function makeBusy(...parts: readonly number[]): readonly HomeUtilisation[] {
+  return parts.map((busy) => ({ utilisation: busy, capacity: 0.5 }));
 }
 
 describe('how many homes there are', () => {
   it('grows while they are busy, as fast as callers move', () => {
-    const plan = new HomePlan();
+    const plan = new HomeScaler();
     let homes = 3;
     const counts: number[] = [];
     for (let now = 0; now < 12_500; now += 500) {
-      homes = plan.plan({ homes, least: 3, busy: makeBusy(0.7, 0.6, 0.8), now });
+      homes = plan.plan({ homes, minHomes: 3, utilisations: makeBusy(0.7, 0.6, 0.8), now });
       counts.push(homes);
     }
     expect(new Set(counts)).to.deep.equal(new Set([5, 8, 12]));
   });
   it('stays where the load is moderate, and where one alone is busy for a moment', () => {
-    const plan = new HomePlan();
+    const plan = new HomeScaler();
     for (let now = 0; now < 60_000; now += 500) {
-      expect(plan.plan({ homes: 4, least: 3, busy: makeBusy(0.3, 0.9, 0.2, 0.3), now })).to.equal(
-        4,
-      );
+      expect(
+        plan.plan({ homes: 4, minHomes: 3, utilisations: makeBusy(0.3, 0.9, 0.2, 0.3), now }),
+      ).to.equal(4);
     }
   });
   // Seen on the users' platform: machines of a fifth of a core became homes, were busy all the time, and the plan grew
   // by more of them, from 3 to 27, while the strong ones had half of their time left.
   it('does not grow for weak homes that are full while the strong ones have time', () => {
-    const plan = new HomePlan();
-    const strong = [0.3, 0.4, 0.35].map((busy) => ({ busy, capacity: 1.35 }));
-    const weak = [1, 0.98, 1].map((busy) => ({ busy, capacity: 0.27 }));
+    const plan = new HomeScaler();
+    const strong = [0.3, 0.4, 0.35].map((busy) => ({ utilisation: busy, capacity: 1.35 }));
+    const weak = [1, 0.98, 1].map((busy) => ({ utilisation: busy, capacity: 0.27 }));
     for (let now = 0; now < 30_000; now += 500) {
-      expect(plan.plan({ homes: 6, least: 3, busy: [...strong, ...weak], now })).to.equal(6);
+      expect(
+        plan.plan({ homes: 6, minHomes: 3, utilisations: [...strong, ...weak], now }),
+      ).to.equal(6);
     }
   });
   it('shrinks one by one after a long time of little load', () => {
-    const plan = new HomePlan();
-    let homes = plan.plan({ homes: 6, least: 4, busy: makeBusy(0.3), now: 0 });
+    const plan = new HomeScaler();
+    let homes = plan.plan({ homes: 6, minHomes: 4, utilisations: makeBusy(0.3), now: 0 });
     const shrunkAt: number[] = [];
     for (let now = 500; now < 50_000; now += 500) {
-      const next = plan.plan({ homes, least: 4, busy: makeBusy(0.1, 0.05), now });
+      const next = plan.plan({ homes, minHomes: 4, utilisations: makeBusy(0.1, 0.05), now });
       if (next < homes) shrunkAt.push(now);
       homes = next;
     }
@@ -56,20 +58,26 @@
       ...{ ip: `10.0.0.${index}`, domain: `d${index % 3}`, capacity: 0.5, isSenior: true },
     });
     const roster = new Roster({
-      ...{ clock, self: makeInfo(1), selfState: () => 'ready' as const, homes: 3, capacity: 1 },
+      ...{
+        clock,
+        self: makeInfo(1),
+        readSelfState: () => 'ready' as const,
+        minHomes: 3,
+        minHomeCapacity: 1,
+      },
     });
     for (let index = 2; index <= 9; index += 1) {
-      roster.hear(makeInfo(index), { state: 'ready', busy: index / 10, askers: 1 });
+      roster.recordStatus(makeInfo(index), { state: 'ready', utilisation: index / 10, pollers: 1 });
     }
     expect(roster.listHomes()).to.have.length(3);
-    roster.setWanted(5);
+    roster.setDesiredHomes(5);
     const homes = roster.listHomes();
     expect(homes).to.have.length(5);
     const others = homes.filter(({ ip }) => ip !== '10.0.0.1');
-    expect(roster.listBusy()).to.deep.equal(
-      others.map(({ ip }) => ({ busy: Number(ip.slice(-1)) / 10, capacity: 0.5 })),
+    expect(roster.listHomeUtilisations()).to.deep.equal(
+      others.map(({ ip }) => ({ utilisation: Number(ip.slice(-1)) / 10, capacity: 0.5 })),
     );
-    roster.setWanted(1);
+    roster.setDesiredHomes(1);
     expect(roster.listHomes()).to.have.length(3);
   });
   // A fleet with fewer daemons than the homes that its settings ask for told of a plan twice a second.
@@ -77,7 +85,7 @@
     const clock = new ManualClock();
     const self = { ip: '10.0.0.1', domain: 'd1', capacity: 0.5, isSenior: true };
     const roster = new Roster({
-      ...{ clock, self, selfState: () => 'ready' as const, homes: 3, capacity: 1 },
+      ...{ clock, self, readSelfState: () => 'ready' as const, minHomes: 3, minHomeCapacity: 1 },
     });
     const told: string[] = [];
     const note = (event: string) => told.push(event);
@@ -97,12 +105,12 @@
       ...{ ip: `10.0.0.${index}`, domain: `d${index % 3}`, capacity, isSenior: true },
     });
     const roster = new Roster({
-      ...{ clock, self: makeInfo(1, 1.35), selfState: () => 'ready' as const },
-      ...{ homes: 3, capacity: 1 },
+      ...{ clock, self: makeInfo(1, 1.35), readSelfState: () => 'ready' as const },
+      ...{ minHomes: 3, minHomeCapacity: 1 },
     });
-    for (let index = 2; index <= 6; index += 1) roster.note(makeInfo(index, 1.35));
-    for (let index = 7; index <= 60; index += 1) roster.note(makeInfo(index, 0.27));
-    expect(roster.countStrong()).to.equal(6);
+    for (let index = 2; index <= 6; index += 1) roster.addMember(makeInfo(index, 1.35));
+    for (let index = 7; index <= 60; index += 1) roster.addMember(makeInfo(index, 0.27));
+    expect(roster.countHomeCandidates()).to.equal(6);
   });
 });
 
@@ -110,7 +118,7 @@
 describe('whom a daemon asks', () => {
   const DOMAINS = 5;
   const DAEMONS = 312;
-  const READY = { state: 'ready', busy: 0.1, askers: 1 } as const;
+  const READY = { state: 'ready', utilisation: 0.1, pollers: 1 } as const;
   let clock: ManualClock;
 
   /** Three strong daemons in each domain, and weak ones. */
@@ -121,9 +129,9 @@
   });
 
   function createRoster(self: number): Roster {
-    const options = { selfState: () => 'ready' as const, homes: 3, capacity: 1 };
+    const options = { readSelfState: () => 'ready' as const, minHomes: 3, minHomeCapacity: 1 };
     const roster = new Roster({ ...options, clock, self: makeInfo(self) });
-    for (let index = 0; index < DAEMONS; index += 1) roster.note(makeInfo(index));
+    for (let index = 0; index < DAEMONS; index += 1) roster.addMember(makeInfo(index));
     return roster;
   }
 
@@ -135,7 +143,7 @@
     const roster = createRoster(200);
     const asked = new Set<string>();
     for (let round = 0; round < 10; round += 1) {
-      const listed = roster.listToAsk(500);
+      const listed = roster.listToPoll(500);
       expect(listed).to.have.length.within(1, 6);
       for (const { ip } of listed) asked.add(ip);
       await clock.advance(100);
@@ -145,16 +153,16 @@
   it('is a few while everybody starts and nobody serves', () => {
     const roster = createRoster(200);
     for (let index = 0; index < DAEMONS; index += 1) {
-      roster.hear(makeInfo(index), { ...READY, state: 'starting' });
+      roster.recordStatus(makeInfo(index), { ...READY, state: 'starting' });
     }
-    expect(roster.listToAsk()).to.have.length.within(1, 6);
+    expect(roster.listToPoll()).to.have.length.within(1, 6);
   });
   it('is two homes, one of its own domain, where it is no home itself', () => {
     const counts = new Map<string, number>();
     for (let self = 100; self < 300; self += 1) {
       const roster = createRoster(self);
-      for (let index = 0; index < 15; index += 1) roster.hear(makeInfo(index), READY);
-      const listed = roster.listToAsk();
+      for (let index = 0; index < 15; index += 1) roster.recordStatus(makeInfo(index), READY);
+      const listed = roster.listToPoll();
       expect(listed).to.have.length(2);
       expect(listed[0].domain).to.equal(makeInfo(self).domain);
       for (const { ip } of listed) counts.set(ip, (counts.get(ip) ?? 0) + 1);
@@ -169,16 +177,16 @@
       (index) => makeInfo(index).ip === first?.ip,
     );
     const roster = createRoster(self ?? 0);
-    for (let index = 0; index < 15; index += 1) roster.hear(makeInfo(index), READY);
+    for (let index = 0; index < 15; index += 1) roster.recordStatus(makeInfo(index), READY);
     expect(roster.listHomes()).to.have.length(DOMAINS);
-    expect(roster.listToAsk()).to.have.length(DOMAINS - 1 + 2);
+    expect(roster.listToPoll()).to.have.length(DOMAINS - 1 + 2);
   });
   it('hears of the other homes from those, as old as the word is', async () => {
     const roster = createRoster(200);
     const teller = createRoster(0);
-    for (let index = 0; index < 15; index += 1) teller.hear(makeInfo(index), READY);
+    for (let index = 0; index < 15; index += 1) teller.recordStatus(makeInfo(index), READY);
     await clock.advance(500);
-    for (const presence of teller.listPresences()) roster.hearOf(presence);
+    for (const presence of teller.listPresences()) roster.mergePresence(presence);
     expect(roster.listHomes()).to.have.length(DOMAINS);
     await clock.advance(750);
     // What was heard 1250 ms ago by anybody says nothing any more.
@@ -189,11 +197,11 @@
     const roster = createRoster(200);
     const { ip } = makeInfo(1);
     await clock.advance(1000);
-    roster.hear(makeInfo(1), { ...READY, state: 'stopping' });
-    roster.hearOf({ ip, state: 'ready', age: 50 });
+    roster.recordStatus(makeInfo(1), { ...READY, state: 'stopping' });
+    roster.mergePresence({ ip, state: 'ready', age: 50 });
     expect(roster.listHomes().map((home) => home.ip)).to.not.include(ip);
     await clock.advance(100);
-    roster.hearOf({ ip, state: 'ready', age: 50 });
+    roster.mergePresence({ ip, state: 'ready', age: 50 });
     expect(roster.listHomes().map((home) => home.ip)).to.include(ip);
   });
 });
--- a/test/load.test.ts
+++ b/test/load.test.ts
@@ -462,21 +462,21 @@
 
 describe('datagrams between daemons', () => {
   const place = { domain: 'hu/bud1', capacity: 0.54, isSenior: true };
-  const self = { ...place, state: 'ready' as const, busy: 0.25, askers: 12.5 };
+  const self = { ...place, state: 'ready' as const, utilisation: 0.25, pollers: 12.5 };
   const samples: readonly Datagram[] = [
     { kind: 'ask', self, asked: 3 },
     {
       ...{ kind: 'tell', self },
       knowledge: {
         position: { targets: 70_000, configuration: 12, evacuations: 11 },
-        ...{ proofAge: 250, members: 123_456, homes: 5 },
+        ...{ proofAge: 250, membersFingerprint: 123_456, desiredHomes: 5 },
         known: { targets: 80_000, operators: 13 },
-        reading: { reader: '10.4.0.18', age: 270 },
+        lastRead: { reader: '10.4.0.18', age: 270 },
         presences: [
           { ip: '10.1.0.38', state: 'ready', age: 40 },
           { ip: '255.0.2.1', state: 'stopping', age: 0 },
         ],
-        cases: [
+        poisonReports: [
           { request: 'q1', ended: [7, 2 ** 32 - 1], releases: ['v1'], age: 90 },
           { request: 'q2', ended: [], releases: [], age: 0 },
         ],
@@ -484,12 +484,12 @@
     },
     {
       kind: 'load',
-      shares: [
+      loadReports: [
         { target: 4_000_000_000, inFlight: 2, slowdown: 7, age: 12 },
         { target: 17, inFlight: 0, slowdown: undefined, age: 0 },
       ],
     },
-    { kind: 'cases', cases: [{ request: 'q1', ended: [7], releases: [], age: 3 }] },
+    { kind: 'cases', poisonReports: [{ request: 'q1', ended: [7], releases: [], age: 3 }] },
   ];
   for (const sample of samples) {
     it(`${sample.kind} arrives as it was sent`, () => {
@@ -501,7 +501,7 @@
     if (tell.kind !== 'tell') throw new Error('expected tell');
     const unknown = {
       ...tell,
-      knowledge: { ...tell.knowledge, proofAge: Infinity, reading: undefined, presences: [] },
+      knowledge: { ...tell.knowledge, proofAge: Infinity, lastRead: undefined, presences: [] },
     };
     expect(decodeDatagram(encodeDatagram(unknown))).to.deep.equal(unknown);
   });
--- a/test/measuring.test.ts
+++ b/test/measuring.test.ts
@@ -5,7 +5,7 @@
 import { LoadSharing } from '../src/gateway/targets/load-sharing.js';
 import { findProber } from '../src/gateway/targets/prober.js';
 import { ManualClock } from '../src/kernel/index.js';
-import type { LoadShare } from '../src/peering/index.js';
+import type { TargetLoadReport } from '../src/peering/index.js';
 import type { TargetRecord } from '../src/platform/index.js';
 import { Site, sendTo } from './helpers/gateways.js';
 import { createTargets, createView } from './helpers/targets.js';
@@ -86,7 +86,7 @@
   let heard: {
     readonly from: string;
     readonly to: string;
-    readonly shares: readonly LoadShare[];
+    readonly shares: readonly TargetLoadReport[];
   }[];
   let ends: AbortController;
 
--- a/test/news.test.ts
+++ b/test/news.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { computeLongestWay, planNews } from '../src/view/index.js';
+import { computeMaxPropagationDelay, planPropagation } from '../src/view/index.js';
 import { type FleetFaults, NewsFleet, PROMISE } from './helpers/news-fleet.js';
 
 /** What is to be left of that, whatever happens. */
@@ -107,18 +107,21 @@
 
 describe('the times by which changes come to every daemon', () => {
   /** A slow machine behind a slow link, and a busy store. */
-  const DELAYS = { hop: 35, call: 110 };
+  const DELAYS = { hop: 35, storeCall: 110 };
 
   for (const promised of [2000, 2500, 3000, 18_000]) {
-    const times = planNews(promised);
+    const times = planPropagation(promised);
 
     it(`bring one within ${promised} ms, with a tenth to spare, from silent readers`, () => {
-      expect(computeLongestWay(times, DELAYS)).to.be.lessThan(0.9 * promised);
+      expect(computeMaxPropagationDelay(times, DELAYS)).to.be.lessThan(0.9 * promised);
     });
     it(`take no reader for silent that is well: ${promised} ms`, () => {
-      const oldest = times.watchWait + DELAYS.call + times.nearPace + 2 * DELAYS.hop;
-      expect(oldest).to.be.lessThan(times.nearStale);
-      expect(oldest + times.remotePace + 2 * DELAYS.hop).to.be.lessThan(times.remoteStale);
+      const oldest =
+        times.watchTimeout + DELAYS.storeCall + times.nearPollInterval + 2 * DELAYS.hop;
+      expect(oldest).to.be.lessThan(times.nearMaxStaleness);
+      expect(oldest + times.remotePollInterval + 2 * DELAYS.hop).to.be.lessThan(
+        times.remoteMaxStaleness,
+      );
     });
   }
 
--- a/test/routing.test.ts
+++ b/test/routing.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { SplitDealer, type Route, RouteTable } from '../src/routing/index.js';
+import { TrafficSplitter, type Route, RouteTable } from '../src/routing/index.js';
 import { decodeConfiguration, decodeTarget, parseLoad } from '../src/platform/index.js';
 import { HOST, writeConfiguration, writeTarget } from '../src/standin/index.js';
 
@@ -84,7 +84,7 @@
           (weights, draw) => {
             const total = weights.reduce((sum, weight) => sum + weight, 0);
             fc.pre(total > 0);
-            const dealer = new SplitDealer(() => draw);
+            const dealer = new TrafficSplitter(() => draw);
             const dealt = new Map<string, number>();
             for (let count = 1; count <= 200; count += 1) {
               const service = dealer.pick(route(weights)) as string;
@@ -101,7 +101,7 @@
       );
     });
     it('gives nothing to a share without weight', () => {
-      const dealer = new SplitDealer(() => 0.5);
+      const dealer = new TrafficSplitter(() => 0.5);
       const services = new Set(Array.from({ length: 20 }, () => dealer.pick(route([0, 3]))));
       expect([...services]).to.deep.equal(['s1']);
       expect(dealer.pick(route([0, 0]))).to.equal(undefined);
--- a/test/shared-rate.test.ts
+++ b/test/shared-rate.test.ts
@@ -266,13 +266,15 @@
     const share = { target: 1, inFlight: 2, slowdown: 1, age: 3 };
     const shares = [
       share,
-      { ...share, target: 2, named: { rate: 3.9, age: 40 } },
-      { ...share, target: 3, named: { rate: undefined, age: 0 } },
+      { ...share, target: 2, advertisedRate: { rate: 3.9, age: 40 } },
+      { ...share, target: 3, advertisedRate: { rate: undefined, age: 0 } },
     ];
-    expect(decodeDatagram(encodeDatagram({ kind: 'load', shares }))).to.deep.equal({
-      ...{ kind: 'load', shares },
+    expect(decodeDatagram(encodeDatagram({ kind: 'load', loadReports: shares }))).to.deep.equal({
+      ...{ kind: 'load', loadReports: shares },
     });
-    const bad = { ...share, named: { rate: -1, age: 0 } };
-    expect(decodeDatagram(encodeDatagram({ kind: 'load', shares: [bad] }))).to.equal(undefined);
+    const bad = { ...share, advertisedRate: { rate: -1, age: 0 } };
+    expect(decodeDatagram(encodeDatagram({ kind: 'load', loadReports: [bad] }))).to.equal(
+      undefined,
+    );
   });
 });
--- a/test/strange.test.ts
+++ b/test/strange.test.ts
@@ -5,7 +5,7 @@
 import fc from 'fast-check';
 import { serveDirectory } from '../src/gateway/directory.js';
 import { type LogFields, ManualClock, createSeededRandom } from '../src/kernel/index.js';
-import { decodeDatagram, encodeDatagram, parseFeedAnswer } from '../src/peering/index.js';
+import { decodeDatagram, encodeDatagram, parseFeedResponse } from '../src/peering/index.js';
 import {
   KEYS,
   type StoredItem,
@@ -103,8 +103,8 @@
         clock,
         random: createSeededRandom(1),
         isReader: () => true,
-        readLongestPause: () => 1000,
-        ...{ readDueIn: () => Infinity, readWatchWait: () => 900 },
+        getMaxBackoff: () => 1000,
+        ...{ getReadDelay: () => Infinity, getWatchTimeout: () => 900 },
       },
       log: { debug: () => undefined, info: write, warn: write, error: write },
       store: {
@@ -124,7 +124,7 @@
     ends.abort();
     expect(known).to.deep.equal([2, 1, 1, 2]);
     expect(lines.filter(({ incarnation }) => incarnation === 'i-2')).to.have.length(1);
-    expect(reader.unreadable).to.equal(0);
+    expect(reader.unreadableCount).to.equal(0);
   });
 });
 
@@ -223,19 +223,19 @@
     const good = JSON.parse(JSON.stringify({ delta, members: [] })) as {
       readonly delta: Readonly<Record<string, unknown>>;
     };
-    expect(parseFeedAnswer(good)).to.deep.equal(good);
+    expect(parseFeedResponse(good)).to.deep.equal(good);
     const fields = [...Object.keys(good.delta), 'configuration'];
     fc.assert(
       fc.property(fc.constantFrom(...fields), fc.jsonValue(), (field, value) => {
-        const answer = parseFeedAnswer({ ...good, delta: { ...good.delta, [field]: value } });
+        const answer = parseFeedResponse({ ...good, delta: { ...good.delta, [field]: value } });
         if (answer !== undefined) createView().applyDelta(answer.delta, 0);
       }),
       RUNS,
     );
     fc.assert(
       fc.property(fc.jsonValue(), (value) => {
-        expect(parseFeedAnswer({ ...good, members: [value] })).to.equal(undefined);
-        expect(parseFeedAnswer(value)).to.equal(undefined);
+        expect(parseFeedResponse({ ...good, members: [value] })).to.equal(undefined);
+        expect(parseFeedResponse(value)).to.equal(undefined);
       }),
       RUNS,
     );
@@ -243,13 +243,13 @@
   it('is dropped as a datagram, whichever byte is off', () => {
     const self = { domain: 'd1', capacity: 1, isSenior: true, state: 'ready' as const };
     const bytes = encodeDatagram({
-      ...{ kind: 'tell', self: { ...self, busy: 0.1, askers: 3 } },
+      ...{ kind: 'tell', self: { ...self, utilisation: 0.1, pollers: 3 } },
       knowledge: {
         position: { targets: 5, configuration: 3, evacuations: 2 },
         ...{ proofAge: 10, known: { targets: 5, operators: 6 } },
-        ...{ members: 7, homes: 3, reading: { reader: '10.0.0.1', age: 5 } },
+        ...{ membersFingerprint: 7, desiredHomes: 3, lastRead: { reader: '10.0.0.1', age: 5 } },
         presences: [{ ip: '10.0.0.2', state: 'ready', age: 5 }],
-        cases: [{ request: 'q', ended: [7], releases: ['v1'], age: 5 }],
+        poisonReports: [{ request: 'q', ended: [7], releases: ['v1'], age: 5 }],
       },
     });
     fc.assert(
--- a/test/view.test.ts
+++ b/test/view.test.ts
@@ -1,12 +1,12 @@
 import { expect } from 'chai';
 import { ManualClock, createSeededRandom, createSilentLog } from '../src/kernel/index.js';
 import { KEYS, type KvReader, type StoreEvent, type WatchAnswer } from '../src/platform/index.js';
-import { ReaderDuty } from '../src/peering/index.js';
-import { FleetView, StoreReader, planNews } from '../src/view/index.js';
+import { ReaderRole } from '../src/peering/index.js';
+import { FleetView, StoreReader, planPropagation } from '../src/view/index.js';
 import { HOST, writeConfiguration, writeTarget } from '../src/standin/index.js';
 import { createView } from './helpers/targets.js';
 
-const readTimes = () => planNews(3000);
+const readTimes = () => planPropagation(3000);
 
 const ADDRESS = { host: '10.0.0.1', port: 80 };
 
@@ -174,17 +174,17 @@
   it('falls to appointed homes, and to a daemon to which nobody tells anything', async () => {
     const clock = new ManualClock();
     let isAppointed = false;
-    const place = { isAppointed: () => isAppointed, isNearHomes: () => true };
-    const duty = new ReaderDuty(clock, place, readTimes);
-    duty.noteServing();
+    const place = { isDesignated: () => isAppointed, isNearHomes: () => true };
+    const duty = new ReaderRole(clock, place, readTimes);
+    duty.recordServing();
     expect(duty.isReader()).to.equal(true);
-    duty.noteTold('10.0.0.2', clock.now());
+    duty.recordRemoteRead('10.0.0.2', clock.now());
     expect(duty.isReader()).to.equal(false);
     await clock.advance(1600);
     expect(duty.isReader()).to.equal(true);
-    duty.noteTold('10.0.0.2', clock.now() - 1550);
+    duty.recordRemoteRead('10.0.0.2', clock.now() - 1550);
     expect(duty.isReader()).to.equal(true);
-    duty.noteTold('10.0.0.2', clock.now() - 300);
+    duty.recordRemoteRead('10.0.0.2', clock.now() - 300);
     expect(duty.isReader()).to.equal(false);
     isAppointed = true;
     expect(duty.isReader()).to.equal(true);
@@ -193,34 +193,34 @@
   it('falls to the homes and those next to them before the daemons that hear them', async () => {
     const clock = new ManualClock();
     const createDuty = (isNear: boolean) => {
-      const duty = new ReaderDuty(
+      const duty = new ReaderRole(
         clock,
-        { isAppointed: () => false, isNearHomes: () => isNear },
+        { isDesignated: () => false, isNearHomes: () => isNear },
         readTimes,
       );
-      duty.noteServing();
-      duty.noteTold('10.0.0.2', clock.now());
+      duty.recordServing();
+      duty.recordRemoteRead('10.0.0.2', clock.now());
       return duty;
     };
     const [near, remote, alone] = [createDuty(true), createDuty(false), createDuty(false)];
     for (let turn = 0; turn < 16; turn += 1) {
-      remote.noteHeard();
+      remote.recordAnswer();
       await clock.advance(100);
     }
     expect([near, remote, alone].map((duty) => duty.isReader())).to.deep.equal([true, false, true]);
-    expect(remote.readLongestPause()).to.be.greaterThan(near.readLongestPause());
+    expect(remote.getMaxBackoff()).to.be.greaterThan(near.getMaxBackoff());
     // A leaving target has to be known within 2.5 s of the last reading.
     for (let turn = 0; turn < 7; turn += 1) {
-      remote.noteHeard();
+      remote.recordAnswer();
       await clock.advance(100);
     }
     expect(remote.isReader()).to.equal(true);
   });
   it('is left to others for a moment by a daemon that starts', async () => {
     const clock = new ManualClock();
-    const duty = new ReaderDuty(
+    const duty = new ReaderRole(
       clock,
-      { isAppointed: () => false, isNearHomes: () => false },
+      { isDesignated: () => false, isNearHomes: () => false },
       readTimes,
       60,
     );
@@ -234,32 +234,32 @@
   it('does not read because it has not heard yet that others are homes before it', async () => {
     const clock = new ManualClock();
     let knowsOthers = false;
-    const duty = new ReaderDuty(
+    const duty = new ReaderRole(
       clock,
-      { isAppointed: () => !knowsOthers, isNearHomes: () => true },
+      { isDesignated: () => !knowsOthers, isNearHomes: () => true },
       readTimes,
       3000,
     );
-    duty.noteTold('10.0.0.2', clock.now());
+    duty.recordRemoteRead('10.0.0.2', clock.now());
     expect(duty.isReader()).to.equal(false);
-    duty.noteServing();
+    duty.recordServing();
     for (let turn = 0; turn < 10; turn += 1) {
       expect(duty.isReader()).to.equal(false);
       await clock.advance(100);
-      duty.noteTold('10.0.0.2', clock.now());
+      duty.recordRemoteRead('10.0.0.2', clock.now());
       knowsOthers = turn >= 2;
     }
   });
   it('reads as an appointed one soon, and at once where nobody tells it anything', async () => {
     const clock = new ManualClock();
-    const duty = new ReaderDuty(
+    const duty = new ReaderRole(
       clock,
-      { isAppointed: () => true, isNearHomes: () => true },
+      { isDesignated: () => true, isNearHomes: () => true },
       readTimes,
     );
     expect(duty.isReader()).to.equal(true);
-    duty.noteServing();
-    duty.noteTold('10.0.0.2', clock.now());
+    duty.recordServing();
+    duty.recordRemoteRead('10.0.0.2', clock.now());
     expect(duty.isReader()).to.equal(false);
     await clock.advance(400);
     expect(duty.isReader()).to.equal(true);
@@ -277,8 +277,8 @@
     const reader = new StoreReader({
       ...{ store, view, clock, random: createSeededRandom(1), log: createSilentLog() },
       isReader: () => isReader,
-      readLongestPause: () => 1000,
-      ...{ readDueIn: () => Infinity, readWatchWait: () => 900 },
+      getMaxBackoff: () => 1000,
+      ...{ getReadDelay: () => Infinity, getWatchTimeout: () => 900 },
     });
     reader.run(running.signal).catch(() => undefined);
     return reader;
@@ -383,8 +383,8 @@
     };
     const reader = new StoreReader({
       ...{ store: paged, view, clock, random: createSeededRandom(1), log: createSilentLog() },
-      ...{ isReader: () => true, readLongestPause: () => 1000 },
-      ...{ readDueIn: () => Infinity, readWatchWait: () => 900 },
+      ...{ isReader: () => true, getMaxBackoff: () => 1000 },
+      ...{ getReadDelay: () => Infinity, getWatchTimeout: () => 900 },
     });
     reader.run(running.signal).catch(() => undefined);
     await clock.advance(20);
