--- a/src/balance/named-rate.ts
+++ b/src/balance/advertised-rate.ts
@@ -4,11 +4,11 @@
  * The newest word holds, by when the target said it. When it names a rate no more, what it gets rises from that rate on,
  * doubling every fraction of a second: what is sent elsewhere meanwhile does not come back all at once.
  */
-import { computeRisen } from './rise.js';
-import { MOST_SHARERS, type SharedRate } from './shared-rate.js';
+import { computeRampRate } from './rate-ramp.js';
+import { MAX_SENDERS, type SharedRate } from './shared-rate.js';
 
 /** A word of a target on its rate. */
-export interface NamedWord {
+export interface RateAnnouncement {
   /** Requests a second; undefined when it takes any number. */
   readonly rate: number | undefined;
   /** When the target said so, in milliseconds on this daemon's clock. */
@@ -16,7 +16,7 @@
 }
 
 /** What a newer word has changed. */
-export interface NamedChange {
+export interface RateChange {
   readonly before: number | undefined;
   readonly rate: number | undefined;
 }
@@ -34,8 +34,8 @@
 const RISE_TIME = 2000;
 
 /** The newest word of one target. */
-export class NamedRate {
-  #word: NamedWord = { rate: undefined, at: -Infinity };
+export class AdvertisedRate {
+  #word: RateAnnouncement = { rate: undefined, at: -Infinity };
 
   #isOwn = false;
 
@@ -52,7 +52,7 @@
    * @param now when it is heard
    * @param isOwn whether from the target itself
    */
-  hear(word: NamedWord, now: number, isOwn: boolean): NamedChange | undefined {
+  observe(word: RateAnnouncement, now: number, isOwn: boolean): RateChange | undefined {
     if (word.at <= this.#word.at) return undefined;
     const before = this.#word.rate;
     this.#word = word;
@@ -71,14 +71,14 @@
     if (this.#ended === undefined) return undefined;
     const from = Math.max(LEAST_RATE, this.#ended.rate);
     const rise = { from, doubling: DOUBLING, time: RISE_TIME };
-    const risen = computeRisen(rise, now - this.#ended.heardAt);
-    if (risen !== undefined) return { rate: risen, sharers: MOST_SHARERS };
+    const risen = computeRampRate(rise, now - this.#ended.heardAt);
+    if (risen !== undefined) return { rate: risen, maxSenders: MAX_SENDERS };
     this.#ended = undefined;
     return undefined;
   }
 
   /** The word to tell others: heard from the target itself, and that it takes less than it could or did so of late. */
-  readNews(now: number): NamedWord | undefined {
+  readAnnouncement(now: number): RateAnnouncement | undefined {
     if (!this.#isOwn) return undefined;
     return this.read(now) === undefined ? undefined : this.#word;
   }
@@ -87,5 +87,5 @@
 /** Of a small rate fewer homes have a part, so that none of them has to save up for long. */
 function spreadRate(named: number): SharedRate {
   const rate = Math.max(LEAST_RATE, named);
-  return { rate, sharers: Math.min(MOST_SHARERS, Math.ceil(rate)) };
+  return { rate, maxSenders: Math.min(MAX_SENDERS, Math.ceil(rate)) };
 }
--- a/src/balance/standing.ts
+++ b/src/balance/availability.ts
@@ -1,5 +1,5 @@
 /** What a target itself has said of whether it takes requests from this daemon. */
-import { type Rise, computeRisen } from './rise.js';
+import { type RateRamp, computeRampRate } from './rate-ramp.js';
 
 /**
  * A back-off holds for this long at most, in milliseconds. A target that needs more should leave, and a wrong value must
@@ -8,18 +8,18 @@
 const LONGEST_BACKOFF = 600_000;
 
 /** What a target gets from this daemon after a back-off. */
-const RISE: Rise = { from: 4, doubling: 150, time: 1000 };
+const RISE: RateRamp = { from: 4, doubling: 150, time: 1000 };
 
 /** When and from whom it was learnt that a target drains. */
 export interface DrainingNotice {
   /** When the target said so, in milliseconds on this daemon's clock. */
   readonly at: number;
   /** Whether it said so to this daemon. */
-  readonly isOwn: boolean;
+  readonly isDirect: boolean;
 }
 
 /** What is known of one incarnation of a target. It outlives the target's entry in the list. */
-export class Standing {
+export class Availability {
   #draining: DrainingNotice | undefined;
 
   #backoffUntil = -Infinity;
@@ -40,20 +40,20 @@
   }
 
   /** Whether anything that was said holds still. */
-  isNotable(now: number): boolean {
+  isRestricted(now: number): boolean {
     return this.#draining !== undefined || this.isBackedOff(now);
   }
 
   /** Requests a second that the target may get from this daemon after a back-off; undefined where none limits it. */
-  readRate(now: number): number | undefined {
+  readRampRate(now: number): number | undefined {
     if (this.#backoffUntil === -Infinity) return undefined;
-    return computeRisen(RISE, Math.max(0, now - this.#backoffUntil));
+    return computeRampRate(RISE, Math.max(0, now - this.#backoffUntil));
   }
 
   /** Notes that the target drains; returns whether that is news. */
-  noteDraining(notice: DrainingNotice): boolean {
+  recordDraining(notice: DrainingNotice): boolean {
     const isNews = this.#draining === undefined;
-    if (isNews || (notice.isOwn && !this.#draining?.isOwn)) this.#draining = notice;
+    if (isNews || (notice.isDirect && !this.#draining?.isDirect)) this.#draining = notice;
     return isNews;
   }
 
@@ -62,7 +62,7 @@
    *
    * @param time in milliseconds from now on
    */
-  noteBackoff(time: number, now: number): boolean {
+  recordBackoff(time: number, now: number): boolean {
     const until = now + Math.min(time, LONGEST_BACKOFF);
     const isNews = time > 0 && until > this.#backoffUntil;
     if (isNews) this.#backoffUntil = until;
--- a/src/balance/candidates.ts
+++ b/src/balance/candidates.ts
@@ -11,7 +11,7 @@
 import type { Random } from '../kernel/index.js';
 
 /** Up to this many targets all are looked at: pooling of few slots is worth more than the time. */
-export const MOST_LOOKED_AT = 64;
+export const MAX_CANDIDATES = 64;
 
 /** Targets drawn from where there are more: of the own failure domain, and of the others. */
 const NEAR_DRAWN = 40;
@@ -21,7 +21,7 @@
 function* pickFrom<T>(
   items: readonly T[],
   count: number,
-  { random, isUsable }: DrawTerms<T>,
+  { random, isUsable }: DrawOptions<T>,
 ): Iterable<T> {
   const start = Math.floor(random.next() * items.length);
   let taken = 0;
@@ -34,26 +34,29 @@
 }
 
 /** What drawing depends on. */
-export interface DrawTerms<T> {
+export interface DrawOptions<T> {
   readonly random: Random;
   /** Whether the call may go there. */
   readonly isUsable: (candidate: T) => boolean;
 }
 
 /** The targets of a service, in an order that says nothing of them. */
-export interface DrawPool<T> {
+export interface CandidatePool<T> {
   /** Those in the failure domain of this daemon. */
-  readonly near: readonly T[];
-  readonly far: readonly T[];
+  readonly sameDomain: readonly T[];
+  readonly otherDomains: readonly T[];
 }
 
 /** Draws the targets that a call looks at; all of them where they are few. */
-export function drawCandidates<T>({ near, far }: DrawPool<T>, terms: DrawTerms<T>): readonly T[] {
-  if (near.length + far.length <= MOST_LOOKED_AT) {
+export function drawCandidates<T>(
+  { sameDomain: near, otherDomains: far }: CandidatePool<T>,
+  terms: DrawOptions<T>,
+): readonly T[] {
+  if (near.length + far.length <= MAX_CANDIDATES) {
     return [...near, ...far].filter(terms.isUsable);
   }
-  const nearCount = Math.max(NEAR_DRAWN, MOST_LOOKED_AT - far.length);
+  const nearCount = Math.max(NEAR_DRAWN, MAX_CANDIDATES - far.length);
   const drawn = [...pickFrom(near, nearCount, terms)];
-  const farCount = Math.max(FAR_DRAWN, MOST_LOOKED_AT - drawn.length);
+  const farCount = Math.max(FAR_DRAWN, MAX_CANDIDATES - drawn.length);
   return [...drawn, ...pickFrom(far, farCount, terms)];
 }
--- a/src/balance/cold-limit.ts
+++ b/src/balance/cold-limit.ts
@@ -1,8 +1,8 @@
 /** How warm a target is, and the rate that a cold one bears from all daemons together. */
-import { MOST_SHARERS, type SharedRate } from './shared-rate.js';
+import { MAX_SENDERS, type SharedRate } from './shared-rate.js';
 
 /** What a cold target bears. */
-export interface ColdTerms {
+export interface ColdLimits {
   /** Requests a second that one bears, of all daemons together; Infinity where its service does not say. */
   readonly rate: number;
   /** Most requests in any second, as a multiple of the rate. */
@@ -21,12 +21,12 @@
 const SAVED_PART = 0.25;
 
 /** Computes the rate that all daemons share at a cold target; undefined where nothing limits it. */
-export function computeColdRate({ rate, overshoot, slack }: ColdTerms): SharedRate | undefined {
+export function computeColdRate({ rate, overshoot, slack }: ColdLimits): SharedRate | undefined {
   if (rate === Infinity) return undefined;
   const most = rate * overshoot + slack;
-  const sharers = Math.min(MOST_SHARERS, Math.max(1, Math.floor(most * SAVED_PART)));
+  const sharers = Math.min(MAX_SENDERS, Math.max(1, Math.floor(most * SAVED_PART)));
   const safe = Math.max(0, most - sharers) / (COUNTED_TWICE * ARRIVAL_SPREAD);
-  return { rate: Math.min(rate, safe), sharers };
+  return { rate: Math.min(rate, safe), maxSenders: sharers };
 }
 
 /** Calls count as sent of late for this long, in milliseconds. */
@@ -36,11 +36,11 @@
 const MOST_REMEMBERED = 64;
 
 /** Counts the calls sent to one target of late. */
-export class SendMeter {
+export class SendCounter {
   #sentAt: readonly number[] = [];
 
   /** Counts a call that is sent. */
-  note(now: number): void {
+  record(now: number): void {
     const recent = this.#sentAt.filter((at) => now - at < RECENT);
     this.#sentAt = [...recent, now].slice(-MOST_REMEMBERED);
   }
@@ -54,13 +54,13 @@
 }
 
 /** How long what is known of a target's warmth holds, in milliseconds on this daemon's clock. */
-export class Warmth {
+export class WarmUpState {
   #coldUntil = -Infinity;
 
   #heardAt = -Infinity;
 
   /** When the target itself last said how warm it is. */
-  get heardAt(): number {
+  get reportedAt(): number {
     return this.#heardAt;
   }
 
@@ -70,12 +70,12 @@
   }
 
   /** Takes it that the target may be cold until then: from an entry that may be older than its own word. */
-  suspect(until: number): void {
+  suspectCold(until: number): void {
     this.#coldUntil = Math.max(this.#coldUntil, until);
   }
 
   /** Takes the target's own word of a moment; a later one replaces it. @param left for how long it is still cold */
-  hear(left: number, at: number): boolean {
+  observe(left: number, at: number): boolean {
     if (at <= this.#heardAt) return false;
     this.#heardAt = at;
     this.#coldUntil = left > 0 ? at + left : -Infinity;
--- a/src/balance/expected-time.ts
+++ b/src/balance/expected-time.ts
@@ -2,20 +2,20 @@
 import type { Random } from '../kernel/index.js';
 
 /** What the choice looks at; one value for each target. */
-export interface Prospect {
+export interface CandidateLoad {
   readonly slots: number;
   /** Calls there now, running and waiting, of all daemons. */
   readonly calls: number;
   /** How long work takes there now, as a multiple of the usual. */
   readonly slowdown: number;
   /** How much slower it is because it has just started; 1 when it has not. */
-  readonly cold: number;
+  readonly coldFactor: number;
   /** Failures for each success of late. */
-  readonly failures: number;
+  readonly failureRatio: number;
   /** Whether its last health check failed, or calls have been stuck there. */
-  readonly doubtful: boolean;
+  readonly isSuspect: boolean;
   /** Whether the target is in another failure domain than this daemon. */
-  readonly isFar: boolean;
+  readonly isOtherDomain: boolean;
 }
 
 /** A full target is slower even before calls wait there. */
@@ -39,8 +39,8 @@
 const NOISE = 0.06;
 
 /** Estimates the time of one more call, as a multiple of a call's time at an idle, usual target. */
-export function estimateTime(prospect: Prospect): number {
-  const { slots, calls, slowdown, cold, failures } = prospect;
+export function estimateTime(prospect: CandidateLoad): number {
+  const { slots, calls, slowdown, coldFactor: cold, failureRatio: failures } = prospect;
   const crowd = Math.min(1, calls / slots);
   const waits = Math.max(0, calls - slots + 1) / slots;
   // For each success there are as many tries more as there were failures.
@@ -48,20 +48,20 @@
 }
 
 /** What going to a target costs against waiting for another one: the time, and what counts besides. */
-function measureDelay(prospect: Prospect): number {
-  const doubt = prospect.doubtful ? DOUBT : 1;
-  return estimateTime(prospect) * doubt * (prospect.isFar ? FAR : 1);
+function measureDelay(prospect: CandidateLoad): number {
+  const doubt = prospect.isSuspect ? DOUBT : 1;
+  return estimateTime(prospect) * doubt * (prospect.isOtherDomain ? FAR : 1);
 }
 
 /** The cost of a target against others that are free. */
-export function measureCost(prospect: Prospect): number {
-  const { failures } = prospect;
+export function computeCost(prospect: CandidateLoad): number {
+  const { failureRatio: failures } = prospect;
   return (measureDelay(prospect) * (1 + FAILURE_WEIGHT * failures)) / (1 + failures);
 }
 
 /** What is best for a call that asks for a target. */
-export type Advice<T> =
-  | { readonly kind: 'now'; readonly candidate: T; readonly prospect: Prospect }
+export type TargetChoice<T> =
+  | { readonly kind: 'now'; readonly candidate: T; readonly load: CandidateLoad }
   /** Every target that is free is slower than waiting for one that is not. */
   | {
       readonly kind: 'wait';
@@ -70,7 +70,7 @@
       /** The slowdown of all targets on the whole. */
       readonly slowdown: number;
       /** Why targets that have slots take no more for now; undefined where none does so. */
-      readonly limit?: TargetLimit;
+      readonly limit?: LimitReason;
       /** Time until the first of them takes calls again, in milliseconds; 0 unless given. */
       readonly opensIn?: number;
     }
@@ -78,21 +78,21 @@
   | { readonly kind: 'none'; readonly wait?: number };
 
 /** Why targets with free slots take no calls from this daemon for now: they have had their rate, or asked for a back-off. */
-export type TargetLimit = 'rate-limit' | 'backoff';
+export type LimitReason = 'rate-limit' | 'backoff';
 
 /** What an advice depends on besides the targets. */
-export interface AdviceTerms {
-  readonly ahead: number;
+export interface ChoiceTerms {
+  readonly callsAhead: number;
   /** Length of the call's body in bytes; it crosses to a target in another failure domain. */
   readonly bodyBytes: number;
-  readonly sharers: number;
+  readonly callRatio: number;
   /** How many targets stand behind each candidate; 1 where all of them are looked at. */
-  readonly standsFor: number;
+  readonly targetsPerCandidate: number;
   readonly random: Random;
 }
 
 /** What an idle slot of the target would cost a call that waits for it. */
-function measureIdleDelay(prospect: Prospect): number {
+function measureIdleDelay(prospect: CandidateLoad): number {
   return measureDelay({ ...prospect, calls: 0 });
 }
 
@@ -109,12 +109,18 @@
  * @param terms.ahead calls that wait already and go first
  * @param terms.sharers how many times this daemon's calls all daemons have at the targets
  */
-export function choosePlace<T>(
+export function chooseTarget<T>(
   candidates: readonly T[],
-  view: (candidate: T) => Prospect,
-  { ahead, sharers, standsFor, random, bodyBytes }: AdviceTerms,
-): Advice<T> {
-  let best: { readonly candidate: T; readonly prospect: Prospect } | undefined;
+  view: (candidate: T) => CandidateLoad,
+  {
+    callsAhead: ahead,
+    callRatio: sharers,
+    targetsPerCandidate: standsFor,
+    random,
+    bodyBytes,
+  }: ChoiceTerms,
+): TargetChoice<T> {
+  let best: { readonly candidate: T; readonly load: CandidateLoad } | undefined;
   let bestCost = Infinity;
   let bestTime = Infinity;
   let bestFull = Infinity;
@@ -124,16 +130,17 @@
   for (const candidate of candidates) {
     const prospect = view(candidate);
     slots += prospect.slots;
-    slotsPerTime += prospect.slots / (prospect.slowdown * prospect.cold);
+    slotsPerTime += prospect.slots / (prospect.slowdown * prospect.coldFactor);
     if (prospect.calls >= prospect.slots) {
       bestFull = Math.min(bestFull, measureIdleDelay(prospect));
-      fullPerTime += prospect.slots / (prospect.slowdown * prospect.cold);
+      fullPerTime += prospect.slots / (prospect.slowdown * prospect.coldFactor);
       continue;
     }
     const noise = 1 + NOISE * random.next();
-    const cost = measureCost(prospect) * noise * (prospect.isFar ? 1 + bodyBytes / FAR_BYTES : 1);
+    const cost =
+      computeCost(prospect) * noise * (prospect.isOtherDomain ? 1 + bodyBytes / FAR_BYTES : 1);
     if (cost >= bestCost) continue;
-    best = { candidate, prospect };
+    best = { candidate, load: prospect };
     bestCost = cost;
     bestTime = measureDelay(prospect) * noise;
   }
--- a/src/balance/failure-rate.ts
+++ b/src/balance/failure-rate.ts
@@ -22,13 +22,13 @@
   #at = 0;
 
   /** Notes a call that failed. */
-  noteFailure(now: number): void {
+  recordFailure(now: number): void {
     this.#fade(now);
     this.#failures += 1;
   }
 
   /** Notes a call that was answered well. */
-  noteSuccess(now: number): void {
+  recordSuccess(now: number): void {
     this.#fade(now);
     this.#successes += 1;
   }
--- a/src/balance/home.ts
+++ b/src/balance/home.ts
@@ -15,10 +15,10 @@
 }
 
 /** Calls a second that one entry carries with room to spare; measured in `docs/measurements`. */
-export const ENTRY_RATE = 1500;
+export const ENTRY_CALLS_PER_SECOND = 1500;
 
 /** Returns the region of a failure domain: the part before the last slash. */
-export function readRegion(domain: string): string {
+export function parseRegion(domain: string): string {
   const slash = domain.lastIndexOf('/');
   return slash < 0 ? domain : domain.slice(0, slash);
 }
@@ -33,7 +33,7 @@
 }
 
 /** The same, remembered: every service is ranked again whenever a member or VM changes. */
-export function recallPair(a: string, b: string): number {
+export function getPairHash(a: string, b: string): number {
   const pair = `${a}\0${b}`;
   const known = knownPairs.get(pair);
   if (known !== undefined) return known;
@@ -49,7 +49,7 @@
   candidates: readonly T[],
 ): readonly T[] {
   return candidates
-    .map((candidate) => ({ candidate, rank: recallPair(key, candidate.name) }))
+    .map((candidate) => ({ candidate, rank: getPairHash(key, candidate.name) }))
     .sort((a, b) => b.rank - a.rank || (a.candidate.id < b.candidate.id ? -1 : 1))
     .map(({ candidate }) => candidate);
 }
@@ -68,7 +68,7 @@
 }
 
 /** What the number of homes follows from. */
-export interface HomeNeed {
+export interface HomeRequirements {
   readonly name: string;
   /** A fixed number, or 0. */
   readonly homes: number;
@@ -79,9 +79,9 @@
 }
 
 /** Returns how many homes a service has in a region. */
-export function countHomes(need: HomeNeed): number {
+export function countHomes(need: HomeRequirements): number {
   if (need.homes > 0) return need.homes;
-  return Math.max(1, need.needed, Math.ceil(need.expected_rate / ENTRY_RATE));
+  return Math.max(1, need.needed, Math.ceil(need.expected_rate / ENTRY_CALLS_PER_SECOND));
 }
 
 /** A service's homes in one region, and the alternates in order. */
@@ -92,7 +92,7 @@
 
 /** Plans the homes of a service among the live entries of one region. */
 export function planHomes<T extends HomeCandidate>(
-  need: HomeNeed,
+  need: HomeRequirements,
   candidates: readonly T[],
 ): HomePlan<T> {
   const ordered = spreadDomains(rankCandidates(need.name, candidates));
--- a/src/balance/knee.ts
+++ b/src/balance/knee.ts
@@ -37,7 +37,7 @@
    * @param time how long it took, in multiples of its route's usual time at the slowdown told
    * @param shares the shares of the slots that were busy at its start and at its end, its own included
    */
-  learn(time: number, [atStart, atEnd]: readonly [number, number], now: number): number {
+  observe(time: number, [atStart, atEnd]: readonly [number, number], now: number): number {
     // A call that met both says nothing of either.
     if (Math.min(atStart, atEnd) >= NEARLY_FULL) {
       this.#full.add(time, now);
@@ -53,7 +53,7 @@
   }
 
   /** Takes what others have learnt, until enough has been seen here. */
-  absorb(factor: number): void {
+  setPrior(factor: number): void {
     this.#first = factor;
   }
 
@@ -65,7 +65,7 @@
   }
 
   /** The number of calls at which a target with these slots does the most work. */
-  findLimit(slots: number): number {
+  findConcurrencyLimit(slots: number): number {
     const below = Math.max(1, Math.ceil(slots * NEARLY_FULL) - 1);
     const worth = 1 + (slots / below - 1) * DILUTION;
     return this.readFactor() > worth ? below : slots;
--- a/src/balance/lateness.ts
+++ b/src/balance/lateness.ts
@@ -1,18 +1,18 @@
 /** Why an answer came after its aim: what to look at first when callers say that it is slow. */
 
 /** Where the time of an answered request went, in milliseconds. */
-export interface RequestTimes {
+export interface RequestTimings {
   /** What was left of the aim when it arrived; below 0 when its caller had used it up. */
   readonly aimLeft: number;
   /** From its arrival until it was first sent to a target. */
   readonly waited: number;
   /** From its arrival until its answer was passed on. */
   readonly held: number;
-  readonly sendings: number;
+  readonly attempts: number;
 }
 
 /** What made an answer late. */
-export type Lateness =
+export type LatenessCause =
   | 'in-time'
   /** Its caller had spent the aim on earlier tries, look-ups or connections. */
   | 'came-late'
@@ -24,8 +24,8 @@
   | 'slow-target';
 
 /** Judges why an answer is late. @param usual how long a call takes from its sending, as expected */
-export function judgeLateness(times: RequestTimes, usual: number): Lateness {
-  const { aimLeft, waited, held, sendings } = times;
+export function findLatenessCause(times: RequestTimings, usual: number): LatenessCause {
+  const { aimLeft, waited, held, attempts: sendings } = times;
   if (held <= aimLeft) return 'in-time';
   if (aimLeft < usual) return 'came-late';
   if (waited + usual > aimLeft) return 'waited';
--- a/src/balance/limit.ts
+++ b/src/balance/limit.ts
@@ -5,14 +5,14 @@
   /** The limit now; at least 1. */
   read(): number;
   /** Learns from an answer; `full` tells whether the limit was in use. */
-  noteAnswer(latency: number, full: boolean): void;
+  recordAnswer(latency: number, full: boolean): void;
   /** Learns that the target refused for want of room. */
-  noteShed(): void;
+  recordShed(): void;
 }
 
 /** Creates the limit of a target whose slots are known. A shed call lowers nothing. */
 export function createFixedLimit(slots: number): ConcurrencyLimit {
-  return { read: () => slots, noteAnswer: () => undefined, noteShed: () => undefined };
+  return { read: () => slots, recordAnswer: () => undefined, recordShed: () => undefined };
 }
 
 const FIRST_LIMIT = 4;
@@ -34,7 +34,7 @@
   const clamp = (value: number) => Math.min(max, Math.max(1, value));
   return {
     read: () => Math.floor(limit),
-    noteAnswer(latency, full) {
+    recordAnswer(latency, full) {
       base = Math.min(latency, base + base * BASE_DRIFT);
       recent = recent === 0 ? latency : recent + (latency - recent) / limit;
       if (recent > base * SLOWER + 1) {
@@ -43,7 +43,7 @@
       }
       if (full) limit = clamp(limit + 1 / limit);
     },
-    noteShed() {
+    recordShed() {
       limit = clamp(limit * SHED_BACK_OFF);
     },
   };
--- a/src/balance/load-belief.ts
+++ b/src/balance/load-estimate.ts
@@ -7,7 +7,7 @@
  */
 
 /** What a target reports of itself. */
-export interface LoadWord {
+export interface TargetLoad {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
@@ -28,8 +28,8 @@
 const ON_ITS_WAY = 4;
 
 /** The belief about one target. */
-export class LoadBelief {
-  #word: LoadWord | undefined;
+export class LoadEstimate {
+  #word: TargetLoad | undefined;
 
   #at = -Infinity;
 
@@ -70,7 +70,7 @@
   }
 
   /** The last report. */
-  get lastWord(): LoadWord | undefined {
+  get lastReport(): TargetLoad | undefined {
     return this.#word;
   }
 
@@ -95,7 +95,7 @@
   }
 
   /** Takes another home's count of its own calls at the target. */
-  hearHome(home: string, inFlight: number, now: number): void {
+  observeHomeCalls(home: string, inFlight: number, now: number): void {
     this.#shares.set(home, { inFlight, at: now });
   }
 
@@ -104,7 +104,7 @@
    *
    * @param at when it was heard
    */
-  hearSlowdown(slowdown: number, at: number): boolean {
+  observeSlowdown(slowdown: number, at: number): boolean {
     if (at <= this.#slowdownAt) return false;
     this.#slowdown = slowdown;
     this.#slowdownAt = at;
@@ -112,10 +112,10 @@
   }
 
   /** Takes a report. @param own this daemon's calls that it may count */
-  hear(word: LoadWord, own: number, now: number): void {
+  observeReport(word: TargetLoad, own: number, now: number): void {
     this.#word = word;
     this.#at = now;
-    this.hearSlowdown(word.slowdown, now);
+    this.observeSlowdown(word.slowdown, now);
     this.#others = word.running + word.waiting - own;
     const { others } = this.#countTold(now);
     this.#unexplained = Math.max(0, this.#others - others - REPORT_ERROR);
--- a/src/balance/poison.ts
+++ b/src/balance/poison.ts
@@ -35,23 +35,23 @@
 }
 
 /** What may be done with a request. */
-export type PoisonVerdict =
+export type PoisonDecision =
   /** No target has ended under it. */
   | { readonly kind: 'clear' }
   /** It may run once at a time, at a target where no other suspect runs and of a release other than these. */
-  | { readonly kind: 'suspect'; readonly avoided: readonly string[] }
+  | { readonly kind: 'suspect'; readonly avoidedReleases: readonly string[] }
   /** It is sent nowhere; `wait` is the time after which its caller may ask again. */
   | { readonly kind: 'held'; readonly wait: number };
 
 /** What a verdict depends on besides the record. */
-export interface PoisonTerms {
+export interface PoisonContext {
   readonly now: number;
   /** Targets of the service. */
   readonly targets: number;
   /** Releases that targets of the service run. */
   readonly releases: ReadonlySet<string>;
   /** Whether it falls to this daemon to try requests that are held out. */
-  readonly isTrier: boolean;
+  readonly mayRunTrials: boolean;
 }
 
 /** Ends of targets after which a request is held out; one more while targets also end by themselves. */
@@ -90,7 +90,7 @@
 const MOST_NAMED = 8;
 
 /** Characters of a digest, 6 bits each. A request's name is that of its head and that of its body. */
-export const HEAD_LENGTH = 16;
+export const HEAD_DIGEST_LENGTH = 16;
 
 interface ChanceEnd {
   readonly at: number;
@@ -103,7 +103,7 @@
 }
 
 /** What a word of another daemon was worth: `outdated` says that the other does not know what is known here. */
-export type HeardCase = 'news' | 'known' | 'outdated';
+export type ReceivedCase = 'news' | 'known' | 'outdated';
 
 /** Whether a case still blames its request for anything. */
 function isBlamed({ ended }: PoisonCase): boolean {
@@ -139,7 +139,7 @@
   }
 
   /** Whether a request with this head may be known. */
-  mayKnow(head: string): boolean {
+  mayKnowHead(head: string): boolean {
     return this.#heads.has(head);
   }
 
@@ -150,22 +150,22 @@
   }
 
   /** Finds what is known of a request. */
-  find(request: string): PoisonCase | undefined {
+  findCase(request: string): PoisonCase | undefined {
     return this.#cases.get(request);
   }
 
   /** Says what may be done with a request that is to be sent. */
-  judge(request: string, terms: PoisonTerms): PoisonVerdict {
+  judge(request: string, terms: PoisonContext): PoisonDecision {
     const known = this.#cases.get(request);
     if (known === undefined || !isBlamed(known)) return { kind: 'clear' };
     if (this.#running.has(request)) return { kind: 'held', wait: COPY_WAIT };
-    const { now, releases, isTrier } = terms;
+    const { now, releases, mayRunTrials: isTrier } = terms;
     const held = known.ended.length - this.#countEnough(terms);
-    if (held < 0) return { kind: 'suspect', avoided: [] };
+    if (held < 0) return { kind: 'suspect', avoidedReleases: [] };
     const isMended = [...releases].some((release) => !known.releases.includes(release));
-    if (isMended && isTrier) return { kind: 'suspect', avoided: known.releases };
+    if (isMended && isTrier) return { kind: 'suspect', avoidedReleases: known.releases };
     const left = known.changedAt + (HOLDS[held] ?? Infinity) - now;
-    if (left <= 0 && isTrier) return { kind: 'suspect', avoided: [] };
+    if (left <= 0 && isTrier) return { kind: 'suspect', avoidedReleases: [] };
     return { kind: 'held', wait: Math.min(LONGEST_WAIT, Math.max(COPY_WAIT, left)) };
   }
 
@@ -180,14 +180,14 @@
   }
 
   /** Notes that a target ended while it ran a request. Returns what is known of the request now. */
-  noteEnd(request: string, { target, release }: TargetEnd, at: number): PoisonCase {
+  recordTargetEnd(request: string, { target, release }: TargetEnd, at: number): PoisonCase {
     const seen = { request, ended: [target], releases: [release], changedAt: at };
-    this.hear(seen, at);
+    this.receive(seen, at);
     return this.#cases.get(request) ?? seen;
   }
 
   /** Notes that a target ran a request to its end. Returns the case if it was blamed before. */
-  noteAnswer(request: string, now: number): PoisonCase | undefined {
+  recordAnswer(request: string, now: number): PoisonCase | undefined {
     const known = this.#cases.get(request);
     if (known === undefined || !isBlamed(known)) return undefined;
     const cleared = { request, ended: [], releases: [], changedAt: now };
@@ -196,7 +196,7 @@
   }
 
   /** Takes what another daemon knows; what is older than its opposite here says nothing. */
-  hear(word: PoisonCase, now: number): HeardCase {
+  receive(word: PoisonCase, now: number): ReceivedCase {
     const known = this.#cases.get(word.request);
     if (!isBlamed(word)) {
       if (known === undefined || !isBlamed(known)) return 'known';
@@ -216,12 +216,12 @@
   }
 
   /** Lists the requests that are held out, those that lost a target last at the end. */
-  listHeld(): readonly PoisonCase[] {
+  listHeldOut(): readonly PoisonCase[] {
     return [...this.#cases.values()].filter(({ ended }) => ended.length >= ENDS);
   }
 
   /** Lists what changed after a moment. */
-  listSince(moment: number): readonly PoisonCase[] {
+  listChangedSince(moment: number): readonly PoisonCase[] {
     return [...this.#cases.values()].filter(({ changedAt }) => changedAt > moment);
   }
 
@@ -230,7 +230,7 @@
    * seconds at T targets, five requests at each and a quarter of a second at a target, that happens to e * e / 8T
    * of them. Where that may be one in ten seconds, three are asked for.
    */
-  #countEnough({ now, targets }: PoisonTerms): number {
+  #countEnough({ now, targets }: PoisonContext): number {
     let ends = 0;
     for (const [target, { at, isExplained }] of this.#ends) {
       if (now - at > CHANCE_WINDOW) this.#ends.delete(target);
@@ -263,7 +263,7 @@
   }
 
   #countHead(request: string, step: number): void {
-    const head = request.slice(0, HEAD_LENGTH);
+    const head = request.slice(0, HEAD_DIGEST_LENGTH);
     const count = (this.#heads.get(head) ?? 0) + step;
     if (count > 0) this.#heads.set(head, count);
     else this.#heads.delete(head);
--- a/src/balance/pool.ts
+++ b/src/balance/pool.ts
@@ -132,7 +132,7 @@
     for (const target of this.#targets) {
       const { limit } = target;
       slots += limit;
-      busy += Math.min(limit, target.inFlight + target.foreign);
+      busy += Math.min(limit, target.inFlight + target.otherInFlight);
       if (target.readState().kind === 'ready') ready += 1;
     }
     return {
@@ -282,7 +282,7 @@
   #hasRoom(target: Target): boolean {
     const { limit } = target;
     if (limit === 0) return false;
-    return !this.#bounded || target.inFlight + target.foreign < limit;
+    return !this.#bounded || target.inFlight + target.otherInFlight < limit;
   }
 
   #findTarget(request: SlotRequest): Target | undefined {
@@ -302,6 +302,6 @@
       return kind === 'ejected' || kind === 'trial';
     });
     if (ejected.length <= this.#targets.length * MAX_EJECTED_SHARE) return;
-    for (const target of ejected) target.pardon();
+    for (const target of ejected) target.clearEjection();
   }
 }
--- a/src/balance/route-time.ts
+++ b/src/balance/route-time.ts
@@ -40,24 +40,24 @@
   }
 
   /** Whether enough answers came to be of use to others. */
-  get isTaught(): boolean {
+  get hasEnoughSamples(): boolean {
     return this.#answers >= LEAST_ANSWERS;
   }
 
   /** Takes what others have learnt, until an answer comes here. */
-  absorb(lesson: { readonly work: number; readonly spread: number }): void {
+  setPrior(lesson: { readonly work: number; readonly spread: number }): void {
     this.#first = lesson;
     this.#isTold = true;
   }
 
   /** Learns from an answer whose target's slowdown was known. */
-  noteWork(work: number, now: number): void {
+  recordWork(work: number, now: number): void {
     this.#work.add(work, now);
     this.#answers += 1;
   }
 
   /** Learns from the same answers. @param ratio its time, in multiples of the expected one */
-  noteRatio(ratio: number): void {
+  recordRatio(ratio: number): void {
     if (ratio < MOST_RATIO) this.#spread.add(ratio);
   }
 
--- a/src/balance/second-attempt.ts
+++ b/src/balance/second-attempt.ts
@@ -26,7 +26,7 @@
 }
 
 /** Why a second attempt would help, if it would. */
-export type Need =
+export type SecondAttemptReason =
   | 'none'
   /** It is expected to be late. */
   | 'late'
@@ -79,7 +79,7 @@
 }
 
 /** Judges why a second attempt would help. */
-export function judgeNeed(first: FirstAttempt, time: TimeLeft): Need {
+export function findSecondAttemptReason(first: FirstAttempt, time: TimeLeft): SecondAttemptReason {
   const left = estimateLeft(first);
   const isLate = left > time.untilAim;
   if (isLate && left >= RESCUE_FACTOR * first.work) return 'rescue';
--- a/src/balance/shared-rate.ts
+++ b/src/balance/shared-rate.ts
@@ -10,14 +10,14 @@
  * A home that may send less than one request a second saves up for one. What all of them have saved may come at once,
  * so it is one request each, and few of them share one target.
  */
-import { recallPair } from './home.js';
+import { getPairHash } from './home.js';
 
 /** A rate that holds at one target for all daemons together. */
 export interface SharedRate {
   /** Requests a second. */
   readonly rate: number;
   /** Homes that it is divided among, at most; each may have one request saved up. */
-  readonly sharers: number;
+  readonly maxSenders: number;
 }
 
 /** What one daemon stands for in the fleet. */
@@ -30,15 +30,15 @@
 }
 
 /** More homes than these never share one target, so that what they have saved is little beside any bound. */
-export const MOST_SHARERS = 4;
+export const MAX_SENDERS = 4;
 
 /** Whether a home is one of those that share a target: as long as homes stay, so do they. */
 function isSharer({ homes, self }: FleetShare, target: number, sharers: number): boolean {
   if (!homes.includes(self)) return false;
   if (homes.length <= sharers) return true;
   const key = String(target);
-  const own = recallPair(self, key);
-  return homes.filter((home) => recallPair(home, key) > own).length < sharers;
+  const own = getPairHash(self, key);
+  return homes.filter((home) => getPairHash(home, key) > own).length < sharers;
 }
 
 /**
@@ -47,7 +47,7 @@
  * @param target the number that stands for the target between daemons
  */
 export function computeOwnRate(
-  { rate, sharers }: SharedRate,
+  { rate, maxSenders: sharers }: SharedRate,
   share: FleetShare,
   target: number,
 ): number {
@@ -65,13 +65,13 @@
 const ROUNDING = 1e-9;
 
 /** What one daemon has saved up to send to one target: nothing at first, and never more than one request. */
-export class RateBucket {
+export class RateLimiter {
   #saved = 0;
 
   #filledAt: number | undefined;
 
   /** Whether a request may be sent, at so many requests a second from here. */
-  has(now: number, rate: number): boolean {
+  maySend(now: number, rate: number): boolean {
     const elapsed = now - (this.#filledAt ?? now);
     this.#filledAt = now;
     this.#saved = Math.min(MOST_SAVED, this.#saved + (rate * elapsed) / SECOND);
--- a/src/balance/slowdown-memory.ts
+++ b/src/balance/slowdown-model.ts
@@ -12,7 +12,7 @@
 import { DecayingMean } from './estimate.js';
 
 /** What the reports of a service's targets have taught. */
-export interface SlowdownPattern {
+export interface SlowdownParameters {
   /** Mean slowdown over all targets. */
   readonly mean: number;
   /** Mean slowdown of those that are slow. */
@@ -79,7 +79,7 @@
 }
 
 /** What is learnt of one service. */
-export class SlowdownMemory {
+export class SlowdownModel {
   readonly #mean = new DecayingMean(MEAN_HALF_LIFE);
 
   readonly #slow = new DecayingMean(MEAN_HALF_LIFE);
@@ -91,30 +91,30 @@
   #pairs = 0;
 
   /** What is taken until enough has been seen here. */
-  #first: SlowdownPattern = { mean: FIRST_MEAN, slow: FIRST_SLOW, life: FIRST_LIFE };
+  #first: SlowdownParameters = { mean: FIRST_MEAN, slow: FIRST_SLOW, life: FIRST_LIFE };
 
   #life: number | undefined;
 
   #fittedAt = -Infinity;
 
   /** Whether enough has been seen to be of use to others. */
-  get isTaught(): boolean {
+  get hasEnoughSamples(): boolean {
     return this.#pairs >= LEAST_PAIRS;
   }
 
   /** Takes what others have learnt, until enough has been seen here. */
-  absorb(pattern: SlowdownPattern): void {
+  setPrior(pattern: SlowdownParameters): void {
     this.#first = pattern;
   }
 
   /** Learns the slowdown of a target that was asked regardless of how slow it is. */
-  note(slowdown: number, now: number): void {
+  record(slowdown: number, now: number): void {
     this.#mean.add(slowdown, now);
     if (slowdown >= SLOW) this.#slow.add(slowdown, now);
   }
 
   /** Learns from two reports of one target. @param lag time between them in milliseconds */
-  notePair(before: number, after: number, lag: number): void {
+  recordPair(before: number, after: number, lag: number): void {
     if (lag < LEAST_LAG) return;
     const index = Math.floor(Math.log(lag / LEAST_LAG) / Math.log(LAG_STEP));
     const entry = this.#classes[index];
@@ -127,7 +127,7 @@
   }
 
   /** What has been learnt so far. */
-  read(now: number): SlowdownPattern {
+  read(now: number): SlowdownParameters {
     if (now - this.#fittedAt >= FIT_PACE) {
       this.#fittedAt = now;
       this.#life = this.#fit();
@@ -140,7 +140,7 @@
   }
 
   #fit(): number | undefined {
-    if (!this.isTaught) return undefined;
+    if (!this.hasEnoughSamples) return undefined;
     const seen = this.#classes.filter(({ pairs }) => pairs > 0);
     // Without any difference every life fits; a target is then as slow as the mean anyway.
     if (seen.every(({ difference }) => difference === 0)) return undefined;
@@ -173,16 +173,16 @@
 }
 
 /** The last reports of one target. */
-export class ReportTrail {
+export class SlowdownHistory {
   #kept: readonly Report[] = [];
 
-  constructor(private readonly memory: SlowdownMemory) {}
+  constructor(private readonly memory: SlowdownModel) {}
 
   /** Takes a report that is newer than those before. */
-  note(slowdown: number, at: number): void {
+  record(slowdown: number, at: number): void {
     const last = this.#kept.at(-1);
     if (last !== undefined && at <= last.at) return;
-    for (const past of this.#kept) this.memory.notePair(past.slowdown, slowdown, at - past.at);
+    for (const past of this.#kept) this.memory.recordPair(past.slowdown, slowdown, at - past.at);
     // Of reports that come close together the last is kept.
     const isClose =
       last !== undefined && last.at - (this.#kept.at(-2)?.at ?? -Infinity) < KEEP_PACE;
@@ -191,7 +191,7 @@
   }
 
   /** Estimates how slow the target was or is at a moment, from the reports next to it. */
-  read(at: number, { mean, life }: SlowdownPattern): number {
+  estimate(at: number, { mean, life }: SlowdownParameters): number {
     // Nearly all questions are about now, and the last report answers those.
     let index = this.#kept.length - 1;
     while (index >= 0 && this.#kept[index].at > at) index -= 1;
--- a/src/balance/strategy.ts
+++ b/src/balance/strategy.ts
@@ -51,7 +51,7 @@
  */
 function measureFreshCost(target: Target, now: number, usual: number): number {
   const limit = Math.max(1, target.limit);
-  const busy = (target.inFlight + target.foreign) / limit;
+  const busy = (target.inFlight + target.otherInFlight) / limit;
   const slower = (target.readLatency(usual) / usual - TOLERANCE) * LATENCY_WEIGHT;
   const stalled = target.readStall(now) > STALL_FACTOR * usual + STALL_FLOOR ? STALL_COST : 0;
   return busy + Math.min(1, Math.max(0, slower)) + stalled;
--- a/src/balance/target.ts
+++ b/src/balance/target.ts
@@ -16,11 +16,11 @@
 import type { ConcurrencyLimit } from './limit.js';
 
 /** What a target says of itself. */
-export type TargetWord = 'ready' | 'cold' | 'draining';
+export type ReportedState = 'ready' | 'cold' | 'draining';
 
 /** What an ordinary answer of a target reports of its load. */
 export interface TargetReport {
-  readonly word: TargetWord | undefined;
+  readonly state: ReportedState | undefined;
   /** Calls still at the target, from all entries, when it answered; the answered one is not counted. */
   readonly inFlight: number | undefined;
 }
@@ -38,7 +38,7 @@
 export type TargetState =
   | { readonly kind: 'ready' }
   | { readonly kind: 'cold'; readonly share: number }
-  | { readonly kind: 'leaving'; readonly witness: string }
+  | { readonly kind: 'leaving'; readonly source: string }
   | { readonly kind: 'ejected'; readonly until: number; readonly reason: string }
   /** Ejected, and one call at a time is let through to see whether it recovered. */
   | { readonly kind: 'trial'; readonly reason: string };
@@ -99,7 +99,7 @@
 
   #listed: ListedState = 'live';
 
-  #word: TargetWord = 'ready';
+  #word: ReportedState = 'ready';
 
   #wordAt = -Infinity;
 
@@ -131,7 +131,7 @@
   }
 
   /** Calls at the target from other entries, as far as a recent answer told. */
-  get foreign(): number {
+  get otherInFlight(): number {
     const age = this.options.clock.now() - this.#foreignAt;
     return age < REPORT_LIFE ? this.#foreign : 0;
   }
@@ -168,13 +168,13 @@
   /** Whether the target may be used, by the first witness against it. */
   readState(): TargetState {
     const now = this.options.clock.now();
-    if (this.#listed !== 'live') return { kind: 'leaving', witness: `list says ${this.#listed}` };
+    if (this.#listed !== 'live') return { kind: 'leaving', source: `list says ${this.#listed}` };
     if (this.#word === 'draining') {
       return now - this.#wordAt < WORD_LIFE
-        ? { kind: 'leaving', witness: 'its own word' }
+        ? { kind: 'leaving', source: 'its own word' }
         : { kind: 'trial', reason: 'it said that it was leaving and is still listed' };
     }
-    if (now - this.#noticeAt < NOTICE_LIFE) return { kind: 'leaving', witness: 'another entry' };
+    if (now - this.#noticeAt < NOTICE_LIFE) return { kind: 'leaving', source: 'another entry' };
     if (this.#ejection !== undefined) {
       const { until, reason } = this.#ejection;
       return now < until ? { kind: 'ejected', until, reason } : { kind: 'trial', reason };
@@ -186,13 +186,13 @@
   }
 
   /** Takes what the platform's list says. */
-  noteListed(state: ListedState): void {
+  updateListedState(state: ListedState): void {
     if (this.#listed !== 'live' && state === 'live') this.#coldSince = this.options.clock.now();
     this.#listed = state;
   }
 
   /** Takes another entry's notice that the target is leaving. */
-  noteNotice(): void {
+  recordLeavingNotice(): void {
     this.#noticeAt = this.options.clock.now();
   }
 
@@ -215,13 +215,13 @@
         this.counts.answered += 1;
         this.#progressAt = now;
         this.#latency.add(latency, now);
-        this.options.limit.noteAnswer(latency, full);
+        this.options.limit.recordAnswer(latency, full);
         this.#noteOutcome(end.status < SERVER_ERROR, `status ${end.status}`);
         return;
       case 'not-run':
         this.counts.notRun += 1;
         this.#progressAt = now;
-        this.options.limit.noteShed();
+        this.options.limit.recordShed();
         return;
       case 'failed':
         this.counts.failed += 1;
@@ -236,13 +236,13 @@
   }
 
   /** Ends an ejection, because too many targets are ejected to believe it. */
-  pardon(): void {
+  clearEjection(): void {
     this.#ejection = undefined;
     this.#outcomes = [];
   }
 
   /** Learns the outcome of a probe while the target is ejected. */
-  noteProbe(healthy: boolean): void {
+  recordProbe(healthy: boolean): void {
     if (this.#ejection === undefined) return;
     if (healthy) this.#noteOutcome(true, 'probe');
   }
@@ -251,7 +251,7 @@
    * Takes what the head of an answer reports, while the answered call still counts as in flight.
    * The body may take longer, and other calls end meanwhile, so a later moment would count wrongly.
    */
-  noteReport(report: TargetReport): void {
+  recordReport(report: TargetReport): void {
     const now = this.options.clock.now();
     if (report.inFlight !== undefined) {
       const others = Math.max(0, report.inFlight - (this.#inFlight - 1));
@@ -260,10 +260,10 @@
       this.#reported = others;
       this.#foreignAt = now;
     }
-    if (report.word === undefined) return;
-    if (report.word === 'cold' && this.#word !== 'cold') this.#coldSince = now;
-    if (report.word === 'ready') this.#noticeAt = -Infinity;
-    this.#word = report.word;
+    if (report.state === undefined) return;
+    if (report.state === 'cold' && this.#word !== 'cold') this.#coldSince = now;
+    if (report.state === 'ready') this.#noticeAt = -Infinity;
+    this.#word = report.state;
     this.#wordAt = now;
   }
 
--- a/src/balance/wait-line.ts
+++ b/src/balance/wait-queue.ts
@@ -16,7 +16,7 @@
 } from './admission.js';
 
 /** A call that may wait in a line. Times are in milliseconds. */
-export interface LineCall {
+export interface QueuedCall {
   /** 0 is the most urgent. */
   readonly priority: number;
   /** How long the call takes at a usual, idle target. */
@@ -65,7 +65,7 @@
 const OVERLOAD = 0.95;
 
 /** One line. */
-export class WaitLine<C extends LineCall> {
+export class WaitQueue<C extends QueuedCall> {
   readonly #places = new Map<C, Place<C>>();
 
   /** Arrivals of calls that can be in time. */
@@ -90,7 +90,7 @@
   }
 
   /** Notes that a call arrives, whether or not it will wait. */
-  noteArrival(call: C): void {
+  recordArrival(call: C): void {
     if (!this.#isLate(call)) this.#arrivals.note(this.clock.now());
   }
 
@@ -99,7 +99,7 @@
    *
    * @param opensIn time until the first start, in milliseconds
    */
-  notePace(pace: number, slowdown: number, opensIn = 0): void {
+  updatePace(pace: number, slowdown: number, opensIn = 0): void {
     this.#pace = pace;
     this.#slowdown = slowdown;
     const now = this.clock.now();
@@ -141,7 +141,7 @@
    *
    * @param withRepeats whether also those that a target has had before
    */
-  removeVain(withRepeats = false): readonly { readonly call: C; readonly wait: number }[] {
+  removeHopeless(withRepeats = false): readonly { readonly call: C; readonly wait: number }[] {
     const ahead = { inTime: 0, late: 0 };
     const vain: { readonly call: C; readonly wait: number }[] = [];
     for (const place of this.#order()) {
@@ -161,7 +161,7 @@
   }
 
   /** Chooses when a caller may return: after the wait, and not together with others. */
-  chooseReturn(wait: number): number {
+  chooseRetryDelay(wait: number): number {
     return Math.max(LEAST_RETURN, wait * (1 + RETURN_SPREAD * this.random.next()));
   }
 
--- a/src/balance/window-budget.ts
+++ b/src/balance/window-budget.ts
@@ -42,7 +42,7 @@
   ) {}
 
   /** Counts one request of a caller. */
-  noteRequest(): void {
+  recordRequest(): void {
     this.#findSlice().requests += 1;
   }
 
--- a/src/entry/placement.ts
+++ b/src/entry/placement.ts
@@ -1,5 +1,5 @@
 /** Where the calls of a service go: its homes among the entries, seen from this entry. */
-import { type HomePlan, planHomes, readRegion } from '../balance/index.js';
+import { type HomePlan, planHomes, parseRegion } from '../balance/index.js';
 import type { Service } from '../config/index.js';
 import type { Member } from '../peer/index.js';
 import type { Vm } from '../platform/index.js';
@@ -26,10 +26,10 @@
   const roles = new Set(service.pools.map(({ role }) => role).filter((role) => role !== ''));
   const regions = new Set<string>();
   for (const vm of vms) {
-    if (vm.state === 'live' && roles.has(vm.role)) regions.add(readRegion(vm.domain));
+    if (vm.state === 'live' && roles.has(vm.role)) regions.add(parseRegion(vm.domain));
   }
   if (regions.size === 0 || regions.has(own)) return own;
-  const staffed = new Set(candidates.map(({ domain }) => readRegion(domain)));
+  const staffed = new Set(candidates.map(({ domain }) => parseRegion(domain)));
   return [...regions].sort().find((region) => staffed.has(region)) ?? own;
 }
 
@@ -54,7 +54,7 @@
     const plan = { homes: view.candidates, alternates: [] };
     return { region, plan, isHome: true, sharesTargets: false };
   }
-  const local = view.candidates.filter(({ domain }) => readRegion(domain) === region);
+  const local = view.candidates.filter(({ domain }) => parseRegion(domain) === region);
   const { name, homes, expected_rate } = service;
   const need = { name, homes, expected_rate, needed: view.countNeeded(name) };
   const plan = planHomes(need, local.length > 0 ? local : view.candidates);
--- a/src/entry/pool-runtime.ts
+++ b/src/entry/pool-runtime.ts
@@ -72,7 +72,7 @@
     const listed = this.#listTargets({ vms, isNew });
     for (const [name, target] of this.#targets) {
       if (listed.has(name)) continue;
-      target.noteListed('gone');
+      target.updateListedState('gone');
       this.#targets.delete(name);
       this.options.onDropped(target.address);
     }
@@ -83,7 +83,7 @@
     for (const [name, entry] of listed) {
       if (!mine.has(name)) continue;
       const target = this.#targets.get(name) ?? this.#createTarget(name, entry);
-      target.noteListed(entry.leaving ? 'leaving' : 'live');
+      target.updateListedState(entry.leaving ? 'leaving' : 'live');
       used.push(target);
     }
     this.pool.setTargets(used);
--- a/src/entry/prober.ts
+++ b/src/entry/prober.ts
@@ -54,7 +54,7 @@
       const grant = this.#findGrant(key, config.measuring_budget);
       if (!(await grant.spend(config.probe_cost))) return;
       const healthy = await this.#probe(target, config.health_path);
-      target.noteProbe(healthy);
+      target.recordProbe(healthy);
       this.options.metrics.count('probe', 1, { service, healthy: String(healthy) });
       this.options.log.info('probe', { service, target: target.name, healthy });
     }
--- a/src/entry/service-table.ts
+++ b/src/entry/service-table.ts
@@ -1,6 +1,6 @@
 /** All services at work in this entry, rebuilt when the configuration, VMs or members change. */
 import { type Address, type Clock, type Random, formatAddress } from '../kernel/index.js';
-import { type Strategy, isBounded, readRegion } from '../balance/index.js';
+import { type Strategy, isBounded, parseRegion } from '../balance/index.js';
 import {
   type Configuration,
   EMPTY_CONFIGURATION,
@@ -109,13 +109,13 @@
   /** Takes another entry's notice that a target is leaving. */
   noteLeaving(name: string): void {
     for (const runtime of this.#runtimes.values()) {
-      for (const pool of runtime.listPools()) pool.findTarget(name)?.noteNotice();
+      for (const pool of runtime.listPools()) pool.findTarget(name)?.recordLeavingNotice();
     }
   }
 
   #place(service: Service): Placement {
     return placeService(service, {
-      own: readRegion(this.options.domain),
+      own: parseRegion(this.options.domain),
       selfId: this.options.selfId(),
       vms: this.#vms,
       candidates: this.options.listCandidates(),
--- a/src/entry/status.ts
+++ b/src/entry/status.ts
@@ -73,7 +73,7 @@
     case 'cold':
       return `eased in at ${Math.round(state.share * 100)}%`;
     case 'leaving':
-      return `leaving: ${state.witness}`;
+      return `leaving: ${state.source}`;
     case 'ejected':
       return `ejected for ${Math.round(state.until - now)} ms: ${state.reason}`;
     case 'trial':
--- a/src/gateway/requests/backlog.ts
+++ b/src/gateway/requests/backlog.ts
@@ -11,12 +11,12 @@
  * What it buys: more calls are served, none is held on past its time-out, and hardly any is sent on for a caller that
  * has left (`test/overdue.test.ts`).
  */
-import { DecayingMean, type LineCall, QuantileEstimate, WaitLine } from '../../balance/index.js';
+import { DecayingMean, type QueuedCall, QuantileEstimate, WaitQueue } from '../../balance/index.js';
 import type { Clock, Random } from '../../kernel/index.js';
 import type { EventLoopMonitor } from '../event-loop-monitor.js';
 
 /** A request that was read. Times are on the clock, in milliseconds. */
-export interface BacklogCall extends LineCall {
+export interface BacklogCall extends QueuedCall {
   /** When it is estimated to have come. */
   readonly cameAt: number;
   /** Whether its caller has left. */
@@ -68,7 +68,7 @@
 
 /** The backlog of one daemon. */
 export class Backlog {
-  readonly #line: WaitLine<BacklogCall>;
+  readonly #line: WaitQueue<BacklogCall>;
 
   /** Requests that came since the last look at all connections. */
   #fresh = new Set<BacklogCall>();
@@ -87,7 +87,7 @@
   #leftOver: { readonly at: number; readonly begun: number } | undefined;
 
   constructor(private readonly options: BacklogOptions) {
-    this.#line = new WaitLine(options.clock, options.random);
+    this.#line = new WaitQueue(options.clock, options.random);
   }
 
   /** Requests that wait. */
@@ -102,13 +102,13 @@
 
   /** Takes a request: it is begun at the end of this turn, or waits for a later one, or is refused. */
   add(call: BacklogCall): void {
-    this.#line.noteArrival(call);
-    this.#line.notePace(this.pace, 1);
+    this.#line.recordArrival(call);
+    this.#line.updatePace(this.pace, 1);
     let isSure = true;
     if (this.size >= this.#countBatch()) {
       const admission = this.#line.judge(call);
       if (admission.kind === 'refuse' && call.mayBeRefused && call.isWorkKnown) {
-        call.refuse(this.#line.chooseReturn(admission.wait));
+        call.refuse(this.#line.chooseRetryDelay(admission.wait));
         return;
       }
       isSure = admission.kind === 'in-time';
@@ -164,9 +164,9 @@
       begun += 1;
     }
     this.#notePace(begun, now);
-    for (const { call, wait } of this.#line.removeVain()) {
+    for (const { call, wait } of this.#line.removeHopeless()) {
       if (call.isGone()) call.drop();
-      else call.refuse(this.#line.chooseReturn(wait));
+      else call.refuse(this.#line.chooseRetryDelay(wait));
     }
     return begun;
   }
@@ -176,7 +176,7 @@
     const since = this.#leftOver;
     if (since !== undefined && since.begun > 0) {
       this.#pace.add((now - since.at) / since.begun, now);
-      this.#line.notePace(this.pace, 1);
+      this.#line.updatePace(this.pace, 1);
     }
     if (this.size === 0) this.#leftOver = undefined;
     else if (since === undefined || since.begun > 0) this.#leftOver = { at: now, begun };
--- a/src/gateway/requests/forwarding.ts
+++ b/src/gateway/requests/forwarding.ts
@@ -15,7 +15,7 @@
   type RouteTime,
   isQuicker,
   isStuck,
-  judgeNeed,
+  findSecondAttemptReason,
 } from '../../balance/index.js';
 import { type Told, writeAnswer, writeTold } from './answers.js';
 import {
@@ -432,20 +432,20 @@
     const now = clock.now();
     const { belief, record, trail } = attempt.target;
     const pattern = service.readPattern();
-    const slowdown = trail.read(attempt.startedAt, pattern);
+    const slowdown = trail.estimate(attempt.startedAt, pattern);
     const time = now - attempt.startedAt;
     const usual = routeTime.readWork();
     // How slow it was at the start is not sure otherwise, and a slow call would count for more work.
     if (slowdown > SURELY_QUICK) return;
-    routeTime.noteRatio(time / (usual * slowdown));
-    const running = (belief.lastWord?.running ?? belief.inFlight) + 1;
-    const factor = service.knee.learn(
+    routeTime.recordRatio(time / (usual * slowdown));
+    const running = (belief.lastReport?.running ?? belief.inFlight) + 1;
+    const factor = service.knee.observe(
       time / slowdown / usual,
       [attempt.callsAtStart / record.slots, running / record.slots],
       now,
     );
     const work = time / slowdown / factor;
-    routeTime.noteWork(work, now);
+    routeTime.recordWork(work, now);
     service.noteTime(work);
   }
 
@@ -493,12 +493,12 @@
     const work = routeTime.readWork();
     const first: FirstAttempt = {
       ...{ work, elapsed: now - attempt.startedAt },
-      ...{ slowdown: trail.read(attempt.startedAt, pattern), slow: pattern.slow },
+      ...{ slowdown: trail.estimate(attempt.startedAt, pattern), slow: pattern.slow },
       spread: routeTime.readSpread(),
     };
     if (isStuck(first)) attempt.target.noteStuck();
     const times = { untilAim: aimAt - now, untilDeadline: deadline - now };
-    const need = judgeNeed(first, times);
+    const need = findSecondAttemptReason(first, times);
     if (need === 'none') return;
     // A second attempt takes a slot. While others wait for one it is worth it only if it frees one
     // that would be held for long.
@@ -508,7 +508,7 @@
       0,
     );
     if (advice.kind !== 'now') return;
-    const { candidate: target, prospect } = advice;
+    const { candidate: target, load: prospect } = advice;
     if (!isQuicker(first, prospect.slowdown, times)) return;
     if (!this.#mayRepeat()) return;
     this.context.counts.hedges += 1;
--- a/src/gateway/requests/poison-registry.ts
+++ b/src/gateway/requests/poison-registry.ts
@@ -9,8 +9,8 @@
 import {
   type PoisonCase,
   PoisonRecord,
-  type PoisonTerms,
-  type PoisonVerdict,
+  type PoisonContext,
+  type PoisonDecision,
 } from '../../balance/index.js';
 import type { Clock, Log, TextMetrics } from '../../kernel/index.js';
 import type { PoisonReport } from '../../peering/index.js';
@@ -85,7 +85,7 @@
   constructor(private readonly options: PoisonRegistryOptions) {}
 
   /** Says what may be done with a request that is to be sent. */
-  judge(request: WatchedRequest): PoisonVerdict {
+  judge(request: WatchedRequest): PoisonDecision {
     if (!this.#mayKnow(request)) return { kind: 'clear' };
     const terms = this.#readTerms(request.service);
     return request.identity.fingerprints
@@ -123,7 +123,7 @@
       const before = this.#record.findBlamed(name);
       if (width > 0 && before !== undefined && startedAt <= before.changedAt) break;
       // What was answered since then is not blamed, however late the end is found out.
-      blamed.push(this.#record.noteEnd(name, end, lostAt));
+      blamed.push(this.#record.recordTargetEnd(name, end, lostAt));
       if (before !== undefined) break;
     }
     for (const known of blamed) this.#tell(known);
@@ -143,7 +143,7 @@
     if (!this.#mayKnow(request)) return;
     const { clock, log } = this.options;
     for (const name of request.identity.fingerprints) {
-      const cleared = this.#record.noteAnswer(name, clock.now());
+      const cleared = this.#record.recordAnswer(name, clock.now());
       if (cleared === undefined) continue;
       log.info('poison.cleared', { id: request.id, request: name });
       this.#tell(cleared);
@@ -155,7 +155,7 @@
     const { clock, log } = this.options;
     const now = clock.now();
     for (const { request, ended, releases, age } of words) {
-      const heard = this.#record.hear({ request, ended, releases, changedAt: now - age }, now);
+      const heard = this.#record.receive({ request, ended, releases, changedAt: now - age }, now);
       // Who does not know that it was answered learns it with the next answers.
       if (heard === 'outdated') this.#fresh.set(request, now + FRESH_TIME);
       if (heard !== 'news') continue;
@@ -170,7 +170,7 @@
     const now = this.options.clock.now();
     const told = new Map<string, PoisonCase>();
     for (const [request, until] of [...this.#fresh].reverse()) {
-      const known = this.#record.find(request);
+      const known = this.#record.findCase(request);
       if (known === undefined || until < now) this.#fresh.delete(request);
       else if (told.size < MOST_FRESH_TOLD) told.set(request, known);
     }
@@ -180,7 +180,7 @@
 
   /** Requests that are held out. */
   get heldOutCount(): number {
-    return this.#record.isEmpty ? 0 : this.#record.listHeld().length;
+    return this.#record.isEmpty ? 0 : this.#record.listHeldOut().length;
   }
 
   /** Lists what the store is to keep: of those that are held out, the ones that lost a target last. */
@@ -189,7 +189,7 @@
     const { clock } = this.options;
     const toWall = clock.wall() - clock.now();
     return this.#record
-      .listHeld()
+      .listHeldOut()
       .slice(-MOST_STORED)
       .map(({ request, ended, releases, changedAt }) => ({
         ...{ request, ended, releases, at: Math.round(changedAt + toWall) },
@@ -207,17 +207,17 @@
 
   #mayKnow({ identity }: WatchedRequest): boolean {
     if (this.#record.isEmpty) return false;
-    return identity.headDigests.some((head) => this.#record.mayKnow(head));
+    return identity.headDigests.some((head) => this.#record.mayKnowHead(head));
   }
 
-  #readTerms(service: TargetService): PoisonTerms {
+  #readTerms(service: TargetService): PoisonContext {
     const { clock, mayRunTrials: isTrier } = this.options;
     const { targets } = service;
     const releases = new Set<string>();
     for (const { record, isUsable } of targets.values()) {
       if (isUsable) releases.add(readRelease(record));
     }
-    return { now: clock.now(), targets: targets.size, releases, isTrier: isTrier() };
+    return { now: clock.now(), targets: targets.size, releases, mayRunTrials: isTrier() };
   }
 
   #tell({ request }: PoisonCase): void {
@@ -232,7 +232,7 @@
     const now = this.options.clock.now();
     const words: PoisonReport[] = [];
     for (const request of this.#news) {
-      const known = this.#record.find(request);
+      const known = this.#record.findCase(request);
       if (known !== undefined) words.push(describeCase(known, now));
     }
     this.#news.clear();
@@ -243,7 +243,7 @@
 
   /** Some of those that are held out, in turn. */
   #takeHeld(): readonly PoisonCase[] {
-    const held = this.#record.listHeld();
+    const held = this.#record.listHeldOut();
     if (held.length <= MOST_HELD_TOLD) return held;
     const start = this.#turn % held.length;
     this.#turn = start + MOST_HELD_TOLD;
@@ -252,11 +252,11 @@
 }
 
 /** What holds for a request by one name holds for it by any. */
-function joinVerdicts(a: PoisonVerdict, b: PoisonVerdict): PoisonVerdict {
+function joinVerdicts(a: PoisonDecision, b: PoisonDecision): PoisonDecision {
   if (a.kind === 'held' && b.kind === 'held') return a.wait > b.wait ? a : b;
   if (a.kind === 'held' || b.kind === 'clear') return a;
   if (b.kind === 'held' || a.kind === 'clear') return b;
-  return { kind: 'suspect', avoided: [...a.avoided, ...b.avoided] };
+  return { kind: 'suspect', avoidedReleases: [...a.avoidedReleases, ...b.avoidedReleases] };
 }
 
 function describeCase(
--- a/src/gateway/requests/request-handler.ts
+++ b/src/gateway/requests/request-handler.ts
@@ -118,7 +118,7 @@
     this.#lessons = lessons;
     for (const [name, routeTime] of this.#routeTimes) {
       const lesson = lessons[name];
-      if (lesson !== undefined) routeTime.absorb(lesson);
+      if (lesson !== undefined) routeTime.setPrior(lesson);
     }
   }
 
@@ -131,7 +131,7 @@
   readLearnedState(): LearnedState['routes'] {
     const lessons: Record<string, LearnedRouteState> = {};
     for (const [name, routeTime] of this.#routeTimes) {
-      if (!routeTime.isTaught) continue;
+      if (!routeTime.hasEnoughSamples) continue;
       lessons[name] = { work: routeTime.readWork(), spread: routeTime.readSpread() };
     }
     return lessons;
@@ -279,7 +279,7 @@
     if (known !== undefined) return known;
     const routeTime = new RouteTime();
     const lesson = this.#lessons[route];
-    if (lesson !== undefined) routeTime.absorb(lesson);
+    if (lesson !== undefined) routeTime.setPrior(lesson);
     this.#routeTimes.set(route, routeTime);
     return routeTime;
   }
--- a/src/gateway/requests/request-identity.ts
+++ b/src/gateway/requests/request-identity.ts
@@ -8,7 +8,7 @@
  * They are worked out when they are asked for, on most days never; all three take some 10 us.
  */
 import { createHash } from 'node:crypto';
-import { HEAD_LENGTH } from '../../balance/index.js';
+import { HEAD_DIGEST_LENGTH } from '../../balance/index.js';
 import type { Sending } from './attempt.js';
 
 /** What a request is told apart by. */
@@ -28,7 +28,7 @@
 function hashParts(parts: readonly string[], body?: Buffer): string {
   const hash = createHash('sha256').update(parts.map((part) => `${part.length}:${part}`).join(''));
   if (body !== undefined) hash.update(body);
-  return hash.digest('base64url').slice(0, HEAD_LENGTH);
+  return hash.digest('base64url').slice(0, HEAD_DIGEST_LENGTH);
 }
 
 /** The names of one request. */
--- a/src/gateway/requests/request-log.ts
+++ b/src/gateway/requests/request-log.ts
@@ -1,5 +1,5 @@
 /** The lines and counters of one request: each decision on it, with what it rested on. */
-import { judgeLateness } from '../../balance/index.js';
+import { findLatenessCause } from '../../balance/index.js';
 import type { Clock, Log, TextMetrics } from '../../kernel/index.js';
 import type { Told } from './answers.js';
 import type { RunningAttempt } from './attempt.js';
@@ -120,9 +120,9 @@
     const now = clock.now();
     const times = {
       ...{ aimLeft: aimAt - arrivedAt, waited: (this.#sentAt ?? now) - arrivedAt },
-      ...{ held: now - arrivedAt, sendings: this.#sendings },
+      ...{ held: now - arrivedAt, attempts: this.#sendings },
     };
-    const why = judgeLateness(times, usual);
+    const why = findLatenessCause(times, usual);
     if (why === 'in-time') return;
     metrics.count('answers_late', { service: service.name, why });
     log.info('request.late', {
--- a/src/gateway/targets/draining-news.ts
+++ b/src/gateway/targets/draining-news.ts
@@ -29,7 +29,7 @@
     for (const service of this.targets.list()) {
       for (const target of service.targets.values()) {
         const { draining } = target.standing;
-        if (draining === undefined || !draining.isOwn || due.length === MOST_TARGETS) continue;
+        if (draining === undefined || !draining.isDirect || due.length === MOST_TARGETS) continue;
         const age = now - draining.at;
         const repeat = Math.max(FIRST_REPEAT, age * REPEAT_PART);
         if (now - (this.#toldAt.get(target) ?? -Infinity) < repeat) continue;
--- a/src/gateway/targets/load-sharing.ts
+++ b/src/gateway/targets/load-sharing.ts
@@ -194,7 +194,7 @@
     // Only what this home heard from the target itself; what another home told, that one tells.
     const isHeard = belief.reportedAt === belief.slowdownAt;
     // Told again and again, as whoever has just become a home has to keep to it as well.
-    const named = target.named.readNews(now);
+    const named = target.named.readAnnouncement(now);
     // Of hundreds of targets most have no calls from here and were last heard by another home.
     const hasWord =
       inFlight > 0 || named !== undefined || (isHeard && now - belief.slowdownAt < REPEAT);
--- a/src/gateway/targets/own-rates.ts
+++ b/src/gateway/targets/own-rates.ts
@@ -1,6 +1,6 @@
 /** What targets may get from this daemon: the strictest of the rates that all daemons keep to together. */
 import {
-  type ColdTerms,
+  type ColdLimits,
   type FleetShare,
   computeColdRate,
   computeOwnRate,
@@ -9,7 +9,7 @@
 import type { GatewayTarget } from './target.js';
 
 /** What is known of the cold targets of a service. */
-export interface Coldness extends ColdTerms {
+export interface Coldness extends ColdLimits {
   /** For how long a target is cold, in milliseconds. */
   readonly time: number;
 }
@@ -39,7 +39,7 @@
   /** Whether a target has had what it takes from here. */
   isSpent(target: GatewayTarget): boolean {
     const rate = this.read(target);
-    return rate < Infinity && !target.bucket.has(this.options.clock.now(), rate);
+    return rate < Infinity && !target.bucket.maySend(this.options.clock.now(), rate);
   }
 
   /** Calls a second that a target may get from here; Infinity where nothing limits it. */
@@ -47,7 +47,7 @@
     const now = this.options.clock.now();
     const named = target.named.read(now);
     const isCold = target.warmth.isCold(now);
-    const risen = target.standing.readRate(now);
+    const risen = target.standing.readRampRate(now);
     if (named === undefined && risen === undefined && !isCold) return Infinity;
     const share = this.#readShare(now);
     const known = this.#rates.get(target);
--- a/src/gateway/targets/prober.ts
+++ b/src/gateway/targets/prober.ts
@@ -1,6 +1,6 @@
 /** Asks targets how loaded they are, while calls for them come to this daemon. */
 import http from 'node:http';
-import { recallPair } from '../../balance/home.js';
+import { getPairHash } from '../../balance/home.js';
 import { computeProbeInterval } from '../../balance/index.js';
 import { type Clock, scheduleLagTolerantTimeout } from '../../kernel/index.js';
 import { decodeSelfReport } from '../../platform/index.js';
@@ -137,7 +137,7 @@
   let best: string | undefined;
   let bestRank = -1;
   for (const { ip } of near.length > 0 ? near : homes) {
-    const rank = recallPair(ip, String(target.hash));
+    const rank = getPairHash(ip, String(target.hash));
     if (rank <= bestRank) continue;
     best = ip;
     bestRank = rank;
@@ -284,7 +284,7 @@
 
   #mayHaveTurnedCold({ sent, warmth }: GatewayTarget): boolean {
     const now = this.options.clock.now();
-    return sent.count(now) >= BUSY_CALLS && now - warmth.heardAt >= WARMTH_AGE;
+    return sent.count(now) >= BUSY_CALLS && now - warmth.reportedAt >= WARMTH_AGE;
   }
 
   async #probe(service: TargetService, target: GatewayTarget, path: string): Promise<void> {
@@ -311,7 +311,7 @@
       target.takeReport(report, { askedAt: startedAt, own, isGood: false });
       const { load } = report;
       if (load !== undefined && !target.isMisdirected) {
-        service.memory.note(load.slowdown, clock.now());
+        service.memory.record(load.slowdown, clock.now());
       }
     } finally {
       this.#probing.delete(target);
--- a/src/gateway/targets/slot-queue.ts
+++ b/src/gateway/targets/slot-queue.ts
@@ -1,5 +1,10 @@
 /** Calls of one service that wait in this daemon for a target. */
-import { type Admission, type LineCall, type TargetLimit, WaitLine } from '../../balance/index.js';
+import {
+  type Admission,
+  type QueuedCall,
+  type LimitReason,
+  WaitQueue,
+} from '../../balance/index.js';
 import type { Clock, Random, Timer } from '../../kernel/index.js';
 import type { GatewayTarget } from './target.js';
 
@@ -20,11 +25,11 @@
 /** What a suspect asks of its place. */
 export interface PlaceCare {
   /** Releases of targets that it is not sent to. */
-  readonly avoided: readonly string[];
+  readonly avoidedReleases: readonly string[];
 }
 
 /** A call that asks for a target. */
-export interface SlotCall extends PlaceWish, LineCall {}
+export interface SlotCall extends PlaceWish, QueuedCall {}
 
 /** What came of asking. */
 export type SlotAnswer =
@@ -34,7 +39,7 @@
   | { readonly kind: 'refused'; readonly reason: Refusal; readonly wait: number };
 
 /** Why no target is found: none is there, none has a slot in time, or those that have one take no more for now. */
-export type Refusal = 'no-target' | 'no-room' | TargetLimit;
+export type Refusal = 'no-target' | 'no-room' | LimitReason;
 
 /** What a queue asks for each call in turn. */
 export type SlotAdviser = (
@@ -44,14 +49,14 @@
   | {
       readonly kind: 'now';
       readonly candidate: GatewayTarget;
-      readonly prospect: { readonly slowdown: number };
+      readonly load: { readonly slowdown: number };
     }
   /** `pace` lies between two starts here, `slowdown` is that of the targets on the whole. */
   | {
       readonly kind: 'wait';
       readonly pace: number;
       readonly slowdown: number;
-      readonly limit?: TargetLimit;
+      readonly limit?: LimitReason;
       readonly opensIn?: number;
     }
   | { readonly kind: 'none'; readonly wait?: number };
@@ -64,14 +69,14 @@
 
 /** The queue of one service. */
 export class SlotQueue {
-  readonly #line: WaitLine<SlotCall>;
+  readonly #line: WaitQueue<SlotCall>;
 
   readonly #resolvers = new Map<SlotCall, (answer: SlotAnswer) => void>();
 
   #timer: Timer | undefined;
 
   /** What calls wait for besides slots. */
-  #limit: TargetLimit | undefined;
+  #limit: LimitReason | undefined;
 
   /** When a call last had to wait. */
   waitedAt = -Infinity;
@@ -81,7 +86,7 @@
     random: Random,
     private readonly adviser: SlotAdviser,
   ) {
-    this.#line = new WaitLine(clock, random);
+    this.#line = new WaitQueue(clock, random);
   }
 
   /** Calls that wait. */
@@ -91,7 +96,7 @@
 
   /** Gives a target at once, or makes the call wait, or refuses it. */
   take(call: SlotCall): SlotAnswer | Promise<SlotAnswer> {
-    this.#line.noteArrival(call);
+    this.#line.recordArrival(call);
     const ahead = this.#line.countAhead(call);
     const advice = this.adviser(call, ahead);
     switch (advice.kind) {
@@ -135,7 +140,7 @@
     { pace, slowdown, limit, opensIn }: Extract<ReturnType<SlotAdviser>, { kind: 'wait' }>,
   ): void {
     this.#limit = limit;
-    this.#line.notePace(pace * work, slowdown, opensIn);
+    this.#line.updatePace(pace * work, slowdown, opensIn);
   }
 
   #answer(call: SlotCall, answer: SlotAnswer): void {
@@ -146,19 +151,19 @@
 
   /** Sends back those that wait in vain, as the outlook is now. */
   #review(): void {
-    for (const { call, wait } of this.#line.removeVain(this.#limit !== undefined)) {
+    for (const { call, wait } of this.#line.removeHopeless(this.#limit !== undefined)) {
       this.#answer(call, this.#refuse(wait));
     }
   }
 
   #refuse(wait: number): SlotAnswer {
     const reason = this.#limit ?? 'no-room';
-    return { kind: 'refused', reason, wait: this.#line.chooseReturn(wait) };
+    return { kind: 'refused', reason, wait: this.#line.chooseRetryDelay(wait) };
   }
 
   #refuseNone(wait: number | undefined): SlotAnswer {
     if (wait === undefined) return { kind: 'refused', reason: 'no-target', wait: NO_TARGET_RETURN };
-    return { kind: 'refused', reason: 'backoff', wait: this.#line.chooseReturn(wait) };
+    return { kind: 'refused', reason: 'backoff', wait: this.#line.chooseRetryDelay(wait) };
   }
 
   #follow(call: SlotCall, admission: Admission): SlotAnswer | undefined {
@@ -175,10 +180,10 @@
    */
   #start(
     call: SlotCall,
-    { candidate, prospect }: Extract<ReturnType<SlotAdviser>, { kind: 'now' }>,
+    { candidate, load }: Extract<ReturnType<SlotAdviser>, { kind: 'now' }>,
   ): SlotAnswer {
     const now = this.clock.now();
-    const duration = call.work * prospect.slowdown * call.spread;
+    const duration = call.work * load.slowdown * call.spread;
     if (call.mayBeRefused && call.isWorkKnown && now + duration > call.deadline) {
       // How slow the free ones are says nothing of when a quick one has ended its call.
       return this.#refuse(call.work);
--- a/src/gateway/targets/standing-book.ts
+++ b/src/gateway/targets/standing-book.ts
@@ -1,5 +1,5 @@
 /** What targets have said of themselves, kept while their entries are gone from the list and may come back. */
-import { Standing } from '../../balance/index.js';
+import { Availability } from '../../balance/index.js';
 import type { Clock } from '../../kernel/index.js';
 import type { TargetRecord } from '../../platform/index.js';
 
@@ -13,18 +13,18 @@
 /** The book of one daemon. */
 export class StandingBook {
   /** Of targets that left, the one that left first to begin with. */
-  readonly #kept = new Map<string, Standing>();
+  readonly #kept = new Map<string, Availability>();
 
   constructor(private readonly clock: Clock) {}
 
   /** Finds what an incarnation has said before, or begins anew. */
-  find(record: TargetRecord): Standing {
-    return this.#kept.get(nameIncarnation(record)) ?? new Standing();
+  find(record: TargetRecord): Availability {
+    return this.#kept.get(nameIncarnation(record)) ?? new Availability();
   }
 
   /** Keeps what an incarnation has said that leaves the list. */
-  keep(record: TargetRecord, standing: Standing): void {
-    if (!standing.isNotable(this.clock.now())) return;
+  keep(record: TargetRecord, standing: Availability): void {
+    if (!standing.isRestricted(this.clock.now())) return;
     const name = nameIncarnation(record);
     this.#kept.delete(name);
     this.#kept.set(name, standing);
--- a/src/gateway/targets/target-service.ts
+++ b/src/gateway/targets/target-service.ts
@@ -1,17 +1,17 @@
 /** One service as this daemon uses it: its targets, and which of them a call goes to. */
 import type { Clock, Random } from '../../kernel/index.js';
 import {
-  type Advice,
-  type DrawPool,
+  type TargetChoice,
+  type CandidatePool,
   type FleetShare,
-  MOST_LOOKED_AT,
+  MAX_CANDIDATES,
   DecayingMean,
   KneeEstimate,
   RateMeter,
-  SlowdownMemory,
-  type SlowdownPattern,
+  SlowdownModel,
+  type SlowdownParameters,
   WindowBudget,
-  choosePlace,
+  chooseTarget,
   drawCandidates,
 } from '../../balance/index.js';
 import type { LearnedServiceState } from '../learned-state.js';
@@ -74,7 +74,7 @@
   readonly rates: OwnRates;
 
   /** What the targets' reports have taught of how slow they are. */
-  readonly memory = new SlowdownMemory();
+  readonly memory = new SlowdownModel();
 
   readonly #time = new DecayingMean(TIME_HALF_LIFE);
 
@@ -82,7 +82,7 @@
 
   #sharersAt = -Infinity;
 
-  #pool: DrawPool<GatewayTarget> | undefined;
+  #pool: CandidatePool<GatewayTarget> | undefined;
 
   /** Calls that went elsewhere because a target had had what it takes. */
   limitedAway = 0;
@@ -109,11 +109,11 @@
   noteCall(): void {
     this.lastCallAt = this.options.clock.now();
     this.rate.add(this.lastCallAt);
-    this.budget.noteRequest();
+    this.budget.recordRequest();
   }
 
   /** How slow the service's targets are, and for how long one stays so. */
-  readPattern(): SlowdownPattern {
+  readPattern(): SlowdownParameters {
     return this.memory.read(this.options.clock.now());
   }
 
@@ -124,14 +124,14 @@
 
   /** What others may start from; undefined before enough was seen here. */
   readLesson(): LearnedServiceState | undefined {
-    if (!this.memory.isTaught) return undefined;
+    if (!this.memory.hasEnoughSamples) return undefined;
     return { ...this.readPattern(), knee: this.knee.readFactor() };
   }
 
   /** Takes what others have learnt, until enough was seen here. */
   absorb(lesson: LearnedServiceState): void {
-    this.memory.absorb(lesson);
-    this.knee.absorb(lesson.knee);
+    this.memory.setPrior(lesson);
+    this.knee.setPrior(lesson.knee);
   }
 
   /** Counts the targets that take no more than a rate that they name. */
@@ -171,14 +171,14 @@
     this.#pool = undefined;
   }
 
-  #readPool(): DrawPool<GatewayTarget> {
+  #readPool(): CandidatePool<GatewayTarget> {
     if (this.#pool !== undefined) return this.#pool;
     const near: GatewayTarget[] = [];
     const far: GatewayTarget[] = [];
     for (const target of this.targets.values()) {
       (target.record.domain === this.options.domain ? near : far).push(target);
     }
-    this.#pool = { near, far };
+    this.#pool = { sameDomain: near, otherDomains: far };
     return this.#pool;
   }
 
@@ -188,7 +188,7 @@
    *
    * @param ahead calls that go first
    */
-  choosePlace(wish: PlaceWish, ahead: number): Advice<GatewayTarget> {
+  choosePlace(wish: PlaceWish, ahead: number): TargetChoice<GatewayTarget> {
     const { care } = wish;
     let isLimited = false;
     let isBackedOff = false;
@@ -209,7 +209,7 @@
     }
     const now = this.options.clock.wall();
     const isAllowed = (target: GatewayTarget) =>
-      mayTake(target) && !care.avoided.includes(readRelease(target.record));
+      mayTake(target) && !care.avoidedReleases.includes(readRelease(target.record));
     const isApart = (target: GatewayTarget) => isAllowed(target) && target.suspects === 0;
     const isSteady = (target: GatewayTarget) =>
       isApart(target) && now - target.record.born > STEADY_AGE;
@@ -234,7 +234,7 @@
   }
 
   /** Advises a call where all that is left has had what it takes: to wait for more of that, if some falls to us. */
-  #adviseLimited(wish: PlaceWish): Advice<GatewayTarget> {
+  #adviseLimited(wish: PlaceWish): TargetChoice<GatewayTarget> {
     let rate = 0;
     for (const target of this.targets.values()) {
       if (this.#isOpenTo(target, wish)) rate += this.rates.read(target);
@@ -244,7 +244,7 @@
   }
 
   /** Advises a call where every target that it could go to wants nothing for a time. */
-  #adviseBackoff({ tried, regions }: PlaceWish): Advice<GatewayTarget> {
+  #adviseBackoff({ tried, regions }: PlaceWish): TargetChoice<GatewayTarget> {
     const now = this.options.clock.now();
     let slots = 0;
     let opensAt = Infinity;
@@ -275,15 +275,15 @@
     isUsable: (target: GatewayTarget) => boolean,
     { bodyBytes }: PlaceWish,
     ahead: number,
-  ): Advice<GatewayTarget> {
+  ): TargetChoice<GatewayTarget> {
     const { random, domain } = this.options;
     const drawn = drawCandidates(this.#readPool(), { random, isUsable });
     const homes = this.options.countHomes();
     const tellers = this.options.countTellers();
     const terms = { pattern: this.readPattern(), domain, homes, tellers, knee: this.knee };
-    return choosePlace(drawn, (target) => target.view(terms), {
-      ...{ ahead, sharers: this.#measureSharers(homes, tellers), random, bodyBytes },
-      standsFor: Math.max(1, this.targets.size / MOST_LOOKED_AT),
+    return chooseTarget(drawn, (target) => target.view(terms), {
+      ...{ callsAhead: ahead, callRatio: this.#measureSharers(homes, tellers), random, bodyBytes },
+      targetsPerCandidate: Math.max(1, this.targets.size / MAX_CANDIDATES),
     });
   }
 
--- a/src/gateway/targets/target.ts
+++ b/src/gateway/targets/target.ts
@@ -2,17 +2,17 @@
 import {
   FailureRate,
   type KneeEstimate,
-  LoadBelief,
-  NamedRate,
-  type NamedWord,
-  type Prospect,
-  RateBucket,
-  ReportTrail,
-  SendMeter,
-  type SlowdownMemory,
-  type SlowdownPattern,
-  type Standing,
-  Warmth,
+  LoadEstimate,
+  AdvertisedRate,
+  type RateAnnouncement,
+  type CandidateLoad,
+  RateLimiter,
+  SlowdownHistory,
+  SendCounter,
+  type SlowdownModel,
+  type SlowdownParameters,
+  type Availability,
+  WarmUpState,
 } from '../../balance/index.js';
 import type { Clock } from '../../kernel/index.js';
 import type {
@@ -58,7 +58,7 @@
 /** What a view of a target depends on besides the target. */
 export interface ViewTerms {
   /** How slow the targets of the service are, and for how long one stays so. */
-  readonly pattern: SlowdownPattern;
+  readonly pattern: SlowdownParameters;
   /** The failure domain of this daemon. */
   readonly domain: string;
   /** Daemons that send calls to the target. */
@@ -81,12 +81,12 @@
 /** What a target in use is made from. */
 export interface GatewayTargetOptions {
   /** What its service learns from its reports. */
-  readonly memory: SlowdownMemory;
+  readonly memory: SlowdownModel;
   /** Called for each connection opened. */
   readonly onOpened: () => void;
   readonly listener: TargetListener;
   /** What this incarnation has said before. */
-  readonly standing: Standing;
+  readonly standing: Availability;
 }
 
 /** The release of a target; those that say none count as one. */
@@ -96,30 +96,30 @@
 
 /** A target in use. */
 export class GatewayTarget {
-  readonly belief = new LoadBelief();
+  readonly belief = new LoadEstimate();
 
   readonly connections: TargetConnections;
 
   /** Its last reports of how slow it is. */
-  readonly trail: ReportTrail;
+  readonly trail: SlowdownHistory;
 
   /** Until when it is cold, as far as is known. */
-  readonly warmth = new Warmth();
+  readonly warmth = new WarmUpState();
 
   /** What came of its calls of late. */
   readonly failures = new FailureRate();
 
   /** The rate that it has said it takes. */
-  readonly named = new NamedRate();
+  readonly named = new AdvertisedRate();
 
   /** What it has said of whether it takes requests from here. */
-  readonly standing: Standing;
+  readonly standing: Availability;
 
   /** What this daemon may send there while all of them keep to a rate. */
-  readonly bucket = new RateBucket();
+  readonly bucket = new RateLimiter();
 
   /** Calls that were sent there of late. */
-  readonly sent = new SendMeter();
+  readonly sent = new SendCounter();
 
   /** Stands for the incarnation in datagrams between daemons. */
   readonly hash: number;
@@ -160,8 +160,8 @@
     const { memory, onOpened, standing } = options;
     this.standing = standing;
     this.#listed = listed;
-    this.warmth.suspect(listed.coldUntil);
-    this.trail = new ReportTrail(memory);
+    this.warmth.suspectCold(listed.coldUntil);
+    this.trail = new SlowdownHistory(memory);
     this.hash = hashIncarnation(listed.record.incarnation, listed.record.born);
     this.connections = new TargetConnections(listed.record.address, clock, onOpened);
   }
@@ -227,7 +227,7 @@
    * @param isEvacuated whether its failure domain takes no calls
    */
   update(listed: ListedTarget, isEvacuated: boolean): void {
-    if (listed.coldUntil !== this.#listed.coldUntil) this.warmth.suspect(listed.coldUntil);
+    if (listed.coldUntil !== this.#listed.coldUntil) this.warmth.suspectCold(listed.coldUntil);
     this.#listed = listed;
     this.#isEvacuated = isEvacuated;
   }
@@ -245,34 +245,34 @@
   /** Counts a call that is sent there now. */
   start(now: number): void {
     this.belief.start(now);
-    this.sent.note(now);
+    this.sent.record(now);
     this.bucket.take();
   }
 
   /** Views the target for the choice. */
-  view({ pattern, domain, homes, tellers, knee }: ViewTerms): Prospect {
+  view({ pattern, domain, homes, tellers, knee }: ViewTerms): CandidateLoad {
     const now = this.clock.now();
     return {
-      slots: knee.findLimit(this.record.slots),
+      slots: knee.findConcurrencyLimit(this.record.slots),
       calls: this.belief.countCalls(now, homes, tellers),
-      slowdown: this.trail.read(now, pattern),
-      cold: this.warmth.isCold(now) ? COLD_FACTOR : 1,
-      failures: this.failures.read(now),
+      slowdown: this.trail.estimate(now, pattern),
+      coldFactor: this.warmth.isCold(now) ? COLD_FACTOR : 1,
+      failureRatio: this.failures.read(now),
       // What runs beside a suspect may end with it, so others go elsewhere while there is room.
-      doubtful: this.#ill || now < this.#stuckUntil || this.suspects > 0,
-      isFar: this.record.domain !== domain,
+      isSuspect: this.#ill || now < this.#stuckUntil || this.suspects > 0,
+      isOtherDomain: this.record.domain !== domain,
     };
   }
 
   /** Notes that a call failed there; where the target has asked for a back-off, that alone keeps calls away. */
   noteFailure(): void {
     if (this.standing.isBackedOff(this.clock.now())) return;
-    this.failures.noteFailure(this.clock.now());
+    this.failures.recordFailure(this.clock.now());
   }
 
   /** Notes that a call was answered well there. */
   noteSuccess(): void {
-    this.failures.noteSuccess(this.clock.now());
+    this.failures.recordSuccess(this.clock.now());
   }
 
   /** Notes that a call has been there for far too long. */
@@ -309,7 +309,7 @@
       return;
     }
     const now = this.clock.now();
-    if (report.coldLeft !== undefined) this.warmth.hear(report.coldLeft, now);
+    if (report.coldLeft !== undefined) this.warmth.observe(report.coldLeft, now);
     this.noteLoad(report.load, own);
     if (isGood || report.rate.kind !== 'silent') this.#noteRate(report.rate, askedAt);
     this.noteDraining(report.draining);
@@ -331,7 +331,7 @@
   }
 
   #takeDraining(at: number, from?: string): void {
-    if (!this.standing.noteDraining({ at, isOwn: from === undefined })) return;
+    if (!this.standing.recordDraining({ at, isDirect: from === undefined })) return;
     this.options.listener.onDraining(this, from ?? 'target', this.clock.now() - at);
   }
 
@@ -341,7 +341,7 @@
       listener.onUnreadable(this, { field: 'backoff', what: stated.text });
     }
     if (stated.kind !== 'asked') return;
-    if (this.standing.noteBackoff(stated.time, this.clock.now())) {
+    if (this.standing.recordBackoff(stated.time, this.clock.now())) {
       this.#isToldBackedOff = true;
       listener.onBackoff(this, stated.time);
     }
@@ -358,8 +358,8 @@
   noteLoad(report: LoadReport | undefined, own: number): void {
     if (report === undefined) return;
     const before = this.belief.lastSlowdown;
-    this.belief.hear(report, own, this.clock.now());
-    this.trail.note(report.slowdown, this.clock.now());
+    this.belief.observeReport(report, own, this.clock.now());
+    this.trail.record(report.slowdown, this.clock.now());
     this.#wakeIfSlow(before);
   }
 
@@ -387,9 +387,9 @@
   }
 
   /** @param home the daemon that told of it, when the target itself did not */
-  #takeRate(told: NamedWord, home?: string): void {
+  #takeRate(told: RateAnnouncement, home?: string): void {
     const now = this.clock.now();
-    const change = this.named.hear(told, now, home === undefined);
+    const change = this.named.observe(told, now, home === undefined);
     if (change === undefined) return;
     const { listener } = this.options;
     listener.onRate(this, { ...change, age: now - told.at, from: home ?? 'target' });
@@ -403,9 +403,9 @@
     const now = this.clock.now();
     if (named !== undefined) this.#takeRate({ rate: named.rate, at: now - named.age }, home);
     const before = this.belief.lastSlowdown;
-    this.belief.hearHome(home, inFlight, now);
-    const isNews = slowdown !== undefined && this.belief.hearSlowdown(slowdown, now - age);
-    if (isNews) this.trail.note(slowdown, now - age);
+    this.belief.observeHomeCalls(home, inFlight, now);
+    const isNews = slowdown !== undefined && this.belief.observeSlowdown(slowdown, now - age);
+    if (isNews) this.trail.record(slowdown, now - age);
     this.#wakeIfSlow(before);
   }
 
--- a/src/peering/roster.ts
+++ b/src/peering/roster.ts
@@ -6,7 +6,7 @@
  * some precision of counts and nothing else, because every daemon can serve every request.
  */
 import type { Clock } from '../kernel/index.js';
-import { recallPair, spreadDomains } from '../balance/home.js';
+import { getPairHash, spreadDomains } from '../balance/home.js';
 
 /** What a daemon says of itself. */
 export interface MemberInfo {
@@ -323,7 +323,7 @@
   *#listInformants(): Iterable<MemberInfo> {
     const { self } = this.options;
     const measure = (info: MemberInfo) =>
-      Number(info.domain === self.domain) + recallPair(self.ip, info.ip) / 2 ** HASH_BITS;
+      Number(info.domain === self.domain) + getPairHash(self.ip, info.ip) / 2 ** HASH_BITS;
     const homes = [...this.listHomes()].sort((a, b) => measure(b) - measure(a));
     yield* homes;
     const names = new Set(homes.map(({ ip }) => ip));
@@ -344,7 +344,7 @@
     if (this.#ranked !== undefined) return this.#ranked;
     const measure = (info: MemberInfo) => Math.floor(info.capacity / CAPACITY_STEP);
     const ordered = this.list()
-      .map((info) => ({ ...info, id: info.ip, name: info.ip, rank: recallPair('home', info.ip) }))
+      .map((info) => ({ ...info, id: info.ip, name: info.ip, rank: getPairHash('home', info.ip) }))
       .sort(
         (a, b) =>
           measure(b) - measure(a) || Number(b.isSenior) - Number(a.isSenior) || b.rank - a.rank,
@@ -363,5 +363,5 @@
 const HASH_BITS = 48;
 
 function hashMember(ip: string): number {
-  return recallPair('member', ip) % FINGERPRINTS;
+  return getPairHash('member', ip) % FINGERPRINTS;
 }
--- a/src/proxy/forwarder.ts
+++ b/src/proxy/forwarder.ts
@@ -205,8 +205,8 @@
       onSent: () => this.#ledger.noteSent(),
       onNotRun: () => this.#ledger.noteNotRun(),
       onReport: (report) => {
-        slot.target.noteReport(report);
-        if (report.word === 'draining') this.context.onLeaving(slot.target.name);
+        slot.target.recordReport(report);
+        if (report.state === 'draining') this.context.onLeaving(slot.target.name);
       },
     });
     this.#running.add(attempt);
--- a/src/proxy/headers.ts
+++ b/src/proxy/headers.ts
@@ -1,6 +1,6 @@
 /** Headers: the ones of ours, the ones that end at each hop, and what passes on. */
 import { OUTCOME_HEADER } from './outcome.js';
-import type { TargetReport, TargetWord } from '../balance/index.js';
+import type { TargetReport, ReportedState } from '../balance/index.js';
 
 /** Request headers that callers may send. */
 export const CALLER_HEADERS = {
@@ -127,17 +127,17 @@
   readonly report: TargetReport;
 }
 
-const WORDS: readonly TargetWord[] = ['ready', 'cold', 'draining'];
+const WORDS: readonly ReportedState[] = ['ready', 'cold', 'draining'];
 const NO_REPORT: ReadReport = {
   notRun: false,
-  report: { word: undefined, inFlight: undefined },
+  report: { state: undefined, inFlight: undefined },
 };
 
 /** Reads a report header; parts that cannot be read are ignored. */
 export function readReport(value: string | undefined): ReadReport {
   if (value === undefined) return NO_REPORT;
   let notRun = false;
-  let word: TargetWord | undefined;
+  let word: ReportedState | undefined;
   let inFlight: number | undefined;
   for (const part of value.split(';')) {
     const [name = '', text = ''] = part.trim().split('=');
@@ -145,5 +145,5 @@
     if (name === 'state') word = WORDS.find((known) => known === text);
     if (name === 'in-flight' && /^\d{1,6}$/.test(text)) inFlight = Number(text);
   }
-  return { notRun, report: { word, inFlight } };
+  return { notRun, report: { state: word, inFlight } };
 }
--- a/src/spread/load-board.ts
+++ b/src/spread/load-board.ts
@@ -5,7 +5,7 @@
  * number of homes rises at once and falls only after a minute, and entries may disagree for a few
  * seconds, which costs some balance and no correctness.
  */
-import { ENTRY_RATE } from '../balance/index.js';
+import { ENTRY_CALLS_PER_SECOND } from '../balance/index.js';
 import type { LoadMessage } from '../peer/index.js';
 
 const LIFE = 10_000;
@@ -13,7 +13,7 @@
 const MAX_LISTED = 16;
 
 /** Calls a second at which a home tells the others. */
-export const ANNOUNCED_RATE = ENTRY_RATE / 2;
+export const ANNOUNCED_RATE = ENTRY_CALLS_PER_SECOND / 2;
 
 interface Heard {
   readonly rate: number;
@@ -64,7 +64,7 @@
     for (const { rate: part, at } of this.#heard.get(service)?.values() ?? []) {
       if (now - at <= LIFE) rate += part;
     }
-    const needed = Math.max(1, Math.ceil(rate / ENTRY_RATE));
+    const needed = Math.max(1, Math.ceil(rate / ENTRY_CALLS_PER_SECOND));
     const held = this.#held.get(service);
     if (held !== undefined && needed < held.homes && now - held.at < FALL_DELAY) return held.homes;
     this.#held.set(service, { homes: needed, at: now });
--- a/test/backoff.test.ts
+++ b/test/backoff.test.ts
@@ -1,7 +1,7 @@
 import type { ServerResponse } from 'node:http';
 import { expect } from 'chai';
 import { pause } from '../src/demo/index.js';
-import { Standing } from '../src/balance/index.js';
+import { Availability } from '../src/balance/index.js';
 import type { SiteTarget } from '../src/standin/index.js';
 import { type CallerReply, Site, sendTo } from './helpers/gateways.js';
 
@@ -176,25 +176,25 @@
   const MINUTE = 60_000;
 
   it('of hours ends after ten minutes: a wrong value must not take a service away', () => {
-    const standing = new Standing();
-    expect(standing.noteBackoff(7200 * SECOND, 0)).to.equal(true);
+    const standing = new Availability();
+    expect(standing.recordBackoff(7200 * SECOND, 0)).to.equal(true);
     expect(standing.isBackedOff(10 * MINUTE - 1)).to.equal(true);
     expect(standing.isBackedOff(10 * MINUTE)).to.equal(false);
   });
   it('that ends before the one that is known is no news', () => {
-    const standing = new Standing();
-    expect(standing.noteBackoff(2000, 0)).to.equal(true);
-    expect(standing.noteBackoff(500, 100)).to.equal(false);
-    expect(standing.noteBackoff(0, 5000)).to.equal(false);
+    const standing = new Availability();
+    expect(standing.recordBackoff(2000, 0)).to.equal(true);
+    expect(standing.recordBackoff(500, 100)).to.equal(false);
+    expect(standing.recordBackoff(0, 5000)).to.equal(false);
     expect(standing.backoffUntil).to.equal(2000);
   });
   it('is followed by ever more calls, until nothing limits them a second later', () => {
-    const standing = new Standing();
-    expect(standing.readRate(0)).to.equal(undefined);
-    standing.noteBackoff(1000, 0);
-    const rates = [1000, 1300, 1600, 1900].map((at) => standing.readRate(at) ?? Infinity);
+    const standing = new Availability();
+    expect(standing.readRampRate(0)).to.equal(undefined);
+    standing.recordBackoff(1000, 0);
+    const rates = [1000, 1300, 1600, 1900].map((at) => standing.readRampRate(at) ?? Infinity);
     expect(rates[0]).to.equal(4);
     expect([...rates].sort((a, b) => a - b)).to.deep.equal(rates);
-    expect(standing.readRate(2000)).to.equal(undefined);
+    expect(standing.readRampRate(2000)).to.equal(undefined);
   });
 });
--- a/test/balance.test.ts
+++ b/test/balance.test.ts
@@ -14,7 +14,7 @@
   createAdaptiveLimit,
   createFixedLimit,
   planHomes,
-  readRegion,
+  parseRegion,
 } from '../src/balance/index.js';
 import type { ClassConfig } from '../src/config/index.js';
 import { LoadBoard } from '../src/spread/index.js';
@@ -146,7 +146,7 @@
 
     it('a call started at a leaving target stops the process', () => {
       const [target] = new Bench(1, 1).targets;
-      target?.noteListed('leaving');
+      target?.updateListedState('leaving');
       expect(() => target?.start()).to.throw(InvariantError);
     });
 
@@ -170,8 +170,8 @@
                   () => undefined,
                 );
               } else if (step < 8) held.shift()?.release(step === 7 ? FAILED : ANSWERED);
-              else if (step === 8) target?.noteListed('leaving');
-              else target?.noteListed('live');
+              else if (step === 8) target?.updateListedState('leaving');
+              else target?.updateListedState('live');
               await tick();
               await bench.clock.advance(7);
               const inFlight = bench.targets.reduce((sum, t) => sum + t.inFlight, 0);
@@ -250,14 +250,14 @@
   });
 
   const SIGNS: readonly { what: string; sign: (target: Target) => void }[] = [
-    { what: 'the list says leaving', sign: (target) => target.noteListed('leaving') },
-    { what: 'the list lost it', sign: (target) => target.noteListed('gone') },
-    { what: 'another entry says so', sign: (target) => target.noteNotice() },
+    { what: 'the list says leaving', sign: (target) => target.updateListedState('leaving') },
+    { what: 'the list lost it', sign: (target) => target.updateListedState('gone') },
+    { what: 'another entry says so', sign: (target) => target.recordLeavingNotice() },
     {
       what: 'its own word',
       sign: (target) => {
         target.start();
-        target.noteReport({ word: 'draining', inFlight: 0 });
+        target.recordReport({ state: 'draining', inFlight: 0 });
         target.finish(ANSWERED, 1);
       },
     },
@@ -275,7 +275,7 @@
   it('heals from a wrong notice and from a word that is taken back', async () => {
     const bench = new Bench(1, 1);
     const [target] = bench.targets as [Target];
-    target.noteNotice();
+    target.recordLeavingNotice();
     await bench.clock.advance(31_000);
     expect(target.readState().kind).to.equal('ready');
   });
@@ -334,10 +334,10 @@
 describe('adaptive limit', () => {
   it('grows while latency stays and shrinks when it rises', () => {
     const limit = createAdaptiveLimit(50);
-    for (let turn = 0; turn < 200; turn += 1) limit.noteAnswer(10, true);
+    for (let turn = 0; turn < 200; turn += 1) limit.recordAnswer(10, true);
     const grown = limit.read();
     expect(grown).to.be.above(10);
-    for (let turn = 0; turn < 200; turn += 1) limit.noteAnswer(60, true);
+    for (let turn = 0; turn < 200; turn += 1) limit.recordAnswer(60, true);
     expect(limit.read()).to.be.below(grown / 2);
   });
 });
@@ -404,7 +404,7 @@
   });
 
   it('know the region of a failure domain', () => {
-    expect(readRegion('hu/bud1')).to.equal('hu');
-    expect(readRegion('alone')).to.equal('alone');
+    expect(parseRegion('hu/bud1')).to.equal('hu');
+    expect(parseRegion('alone')).to.equal('alone');
   });
 });
--- a/test/cold-targets.test.ts
+++ b/test/cold-targets.test.ts
@@ -4,7 +4,7 @@
  * others, and nothing bounded what it was sent; one that turned cold again was learnt of after its heartbeat.
  */
 import { expect } from 'chai';
-import { RateBucket, Warmth, computeColdRate, computeOwnRate } from '../src/balance/index.js';
+import { RateLimiter, WarmUpState, computeColdRate, computeOwnRate } from '../src/balance/index.js';
 import { pause } from '../src/demo/index.js';
 import { type Random, createSeededRandom } from '../src/kernel/index.js';
 import { COLD_OVERSHOOT, COLD_SLACK, Site, sendTo } from './helpers/gateways.js';
@@ -182,7 +182,7 @@
     for (let history = 0; history < 300; history += 1) {
       const random = createSeededRandom(history);
       const fleet = new LookingFleet(random);
-      const buckets = Array.from({ length: DAEMONS }, () => new RateBucket());
+      const buckets = Array.from({ length: DAEMONS }, () => new RateLimiter());
       const shared = computeColdRate(bound);
       if (shared === undefined) throw new Error('a stated rate is one that is shared');
       const arrivals: number[] = [];
@@ -191,7 +191,7 @@
         for (const [daemon, bucket] of buckets.entries()) {
           // Whatever others say, each takes itself for the only home.
           const share = { part: fleet.measurePart(daemon, now), homes: ['self'], self: 'self' };
-          while (bucket.has(now, computeOwnRate(shared, share, 1))) {
+          while (bucket.maySend(now, computeOwnRate(shared, share, 1))) {
             bucket.take();
             arrivals.push(now + random.next() * 250);
           }
@@ -203,7 +203,7 @@
 
   it('leaves room for daemons that are counted twice and for what is saved up', () => {
     const shared = computeColdRate({ rate: 4.5, overshoot: 1.5, slack: 8 });
-    expect(shared?.sharers).to.equal(3);
+    expect(shared?.maxSenders).to.equal(3);
     expect(shared?.rate).to.be.within(4, 4.5);
     // What is sent in 1.25 s may arrive in one.
     expect(2 * 1.25 * (shared?.rate ?? 0) + 3).to.be.at.most(4.5 * 1.5 + 8);
@@ -212,7 +212,7 @@
   });
 
   it('is none of it for a daemon that is no home or that nobody looks to, and all for the only one', () => {
-    const shared = { rate: 6, sharers: 4 };
+    const shared = { rate: 6, maxSenders: 4 };
     const homes = ['a', 'b', 'c'];
     expect(computeOwnRate(shared, { part: 1 / 3, homes, self: 'd' }, 1)).to.equal(0);
     expect(computeOwnRate(shared, { part: 0, homes, self: 'a' }, 1)).to.equal(0);
@@ -223,16 +223,16 @@
 
 describe('what is known of how warm a target is', () => {
   it("its own later word holds; an entry's word may be older and only ever lengthens it", () => {
-    const warmth = new Warmth();
+    const warmth = new WarmUpState();
     expect(warmth.isCold(0)).to.equal(false);
-    warmth.suspect(3000);
+    warmth.suspectCold(3000);
     expect(warmth.isCold(2999)).to.equal(true);
-    expect(warmth.hear(0, 1000)).to.equal(true);
+    expect(warmth.observe(0, 1000)).to.equal(true);
     expect(warmth.isCold(1000)).to.equal(false);
-    expect(warmth.hear(500, 900)).to.equal(false);
+    expect(warmth.observe(500, 900)).to.equal(false);
     expect(warmth.isCold(1000)).to.equal(false);
-    warmth.hear(500, 1100);
-    warmth.suspect(1200);
+    warmth.observe(500, 1100);
+    warmth.suspectCold(1200);
     expect(warmth.isCold(1599)).to.equal(true);
     expect(warmth.isCold(1600)).to.equal(false);
   });
--- a/test/failure-rate.test.ts
+++ b/test/failure-rate.test.ts
@@ -4,7 +4,7 @@
  * a call a second, and a fifth of all sends was rejected, until the budget for repeats was spent.
  */
 import { expect } from 'chai';
-import { FailureRate, choosePlace, drawCandidates } from '../src/balance/index.js';
+import { FailureRate, chooseTarget, drawCandidates } from '../src/balance/index.js';
 import { createSeededRandom } from '../src/kernel/index.js';
 
 const TARGETS = 270;
@@ -29,8 +29,8 @@
     ...{ endsAt: [], slowdown: 1 },
   }));
   const pool = {
-    near: targets.filter(({ isFar }) => !isFar),
-    far: targets.filter(({ isFar }) => isFar),
+    sameDomain: targets.filter(({ isFar }) => !isFar),
+    otherDomains: targets.filter(({ isFar }) => isFar),
   };
   let [sent, rejected, redrawnAt] = [0, 0, -Infinity];
   for (let now = 0; now < 10_000; now += 1000 / CALLS_A_SECOND) {
@@ -39,16 +39,16 @@
       for (const target of targets) target.slowdown = random.next() < 0.3 ? 7 : 1;
     }
     const drawn = drawCandidates(pool, { random, isUsable: () => true });
-    const advice = choosePlace(
+    const advice = chooseTarget(
       drawn,
       (target) => {
         target.endsAt = target.endsAt.filter((at) => at > now);
         return {
-          ...{ slots: 4, calls: target.endsAt.length, slowdown: target.slowdown, cold: 1 },
-          ...{ failures: target.rate.read(now), doubtful: false, isFar: target.isFar },
+          ...{ slots: 4, calls: target.endsAt.length, slowdown: target.slowdown, coldFactor: 1 },
+          ...{ failureRatio: target.rate.read(now), isSuspect: false, isOtherDomain: target.isFar },
         };
       },
-      { ahead: 0, sharers: 3, standsFor: TARGETS / 64, random, bodyBytes: 0 },
+      { callsAhead: 0, callRatio: 3, targetsPerCandidate: TARGETS / 64, random, bodyBytes: 0 },
     );
     if (advice.kind !== 'now') continue;
     const { candidate } = advice;
@@ -57,10 +57,10 @@
       sent += 1;
       rejected += Number(isRejected);
     }
-    if (isRejected) candidate.rate.noteFailure(now);
+    if (isRejected) candidate.rate.recordFailure(now);
     else {
       candidate.endsAt.push(now + WORK * candidate.slowdown);
-      candidate.rate.noteSuccess(now);
+      candidate.rate.recordSuccess(now);
     }
   }
   return rejected / sent;
@@ -73,26 +73,26 @@
   });
   it('do not make calls wait for full targets once most of a service has failed', () => {
     const random = createSeededRandom(1);
-    const usual = { slots: 4, slowdown: 1, cold: 1, doubtful: false, isFar: false };
-    const free = { ...usual, calls: 0, failures: 2 };
-    const full = { ...usual, calls: 4, failures: 0 };
+    const usual = { slots: 4, slowdown: 1, coldFactor: 1, isSuspect: false, isOtherDomain: false };
+    const free = { ...usual, calls: 0, failureRatio: 2 };
+    const full = { ...usual, calls: 4, failureRatio: 0 };
     const looked = [...Array(20).fill(free), ...Array(10).fill(full)] as (typeof free)[];
-    const terms = { ahead: 0, sharers: 3, standsFor: 4, random, bodyBytes: 0 };
-    const wait = choosePlace(looked, (prospect) => prospect, { ...terms, ahead: 0 });
+    const terms = { callsAhead: 0, callRatio: 3, targetsPerCandidate: 4, random, bodyBytes: 0 };
+    const wait = chooseTarget(looked, (prospect) => prospect, { ...terms, callsAhead: 0 });
     // A target that fails two of three is worth a short wait, and no long one.
     expect(wait.kind).to.equal('wait');
-    const behind = choosePlace(looked, (prospect) => prospect, { ...terms, ahead: 120 });
+    const behind = chooseTarget(looked, (prospect) => prospect, { ...terms, callsAhead: 120 });
     expect(behind.kind).to.equal('now');
-    const mended = looked.map((it) => (it === free ? { ...free, failures: 0.5 } : it));
-    const soon = choosePlace(mended, (prospect) => prospect, { ...terms, ahead: 30 });
+    const mended = looked.map((it) => (it === free ? { ...free, failureRatio: 0.5 } : it));
+    const soon = chooseTarget(mended, (prospect) => prospect, { ...terms, callsAhead: 30 });
     expect(soon.kind).to.equal('now');
   });
   it('are weighed by failures against successes', () => {
     const rate = new FailureRate();
     expect(rate.read(0)).to.equal(0);
-    rate.noteFailure(0);
+    rate.recordFailure(0);
     expect(rate.read(0)).to.equal(1);
-    for (let call = 0; call < 9; call += 1) rate.noteSuccess(0);
+    for (let call = 0; call < 9; call += 1) rate.recordSuccess(0);
     expect(rate.read(0)).to.equal(0.1);
     expect(rate.read(60_000)).to.be.below(0.01);
   });
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -5,7 +5,12 @@
 import http from 'node:http';
 import net, { type AddressInfo } from 'node:net';
 import { expect } from 'chai';
-import { type Prospect, choosePlace, drawCandidates, estimateTime } from '../src/balance/index.js';
+import {
+  type CandidateLoad,
+  chooseTarget,
+  drawCandidates,
+  estimateTime,
+} from '../src/balance/index.js';
 import { TargetConnections } from '../src/gateway/targets/connections.js';
 import { Prober } from '../src/gateway/targets/prober.js';
 import {
@@ -25,7 +30,7 @@
 
 interface Sample {
   readonly domain: number;
-  readonly prospect: Prospect;
+  readonly prospect: CandidateLoad;
 }
 
 describe('targets that a call looks at', () => {
@@ -36,7 +41,13 @@
     return Array.from({ length: count }, (_, index) => ({
       domain: index % DOMAINS,
       prospect: {
-        ...{ slots: 6, cold: 1, failures: 0, doubtful: false, isFar: index % DOMAINS !== 0 },
+        ...{
+          slots: 6,
+          coldFactor: 1,
+          failureRatio: 0,
+          isSuspect: false,
+          isOtherDomain: index % DOMAINS !== 0,
+        },
         calls: Array.from({ length: 6 }, () => Number(random.next() < busyPart)).reduce(
           (sum, busy) => sum + busy,
           0,
@@ -50,14 +61,20 @@
   const isUsable = () => true;
 
   function draw(fleet: readonly Sample[], isUsableNow: (target: Sample) => boolean = isUsable) {
-    const pool = { near: fleet.filter((target) => !isFar(target)), far: fleet.filter(isFar) };
+    const pool = {
+      sameDomain: fleet.filter((target) => !isFar(target)),
+      otherDomains: fleet.filter(isFar),
+    };
     return drawCandidates(pool, { random, isUsable: isUsableNow });
   }
-  const terms = { ahead: 0, sharers: 1, random, bodyBytes: 0 };
+  const terms = { callsAhead: 0, callRatio: 1, random, bodyBytes: 0 };
 
   function measurePlace(looked: readonly Sample[], standsFor: number): number {
-    const advice = choosePlace(looked, ({ prospect }) => prospect, { ...terms, standsFor });
-    return advice.kind === 'now' ? estimateTime(advice.prospect) : SLOW;
+    const advice = chooseTarget(looked, ({ prospect }) => prospect, {
+      ...terms,
+      targetsPerCandidate: standsFor,
+    });
+    return advice.kind === 'now' ? estimateTime(advice.load) : SLOW;
   }
 
   it('are all of them where they are few', () => {
@@ -75,7 +92,7 @@
     const near = fleet.filter((target) => !isFar(target)).slice(0, 5);
     const far = fleet.filter(isFar);
     expect(draw([...near, ...far])).to.have.length(64);
-    const pool = { near: fleet, far: [] };
+    const pool = { sameDomain: fleet, otherDomains: [] };
     expect(drawCandidates(pool, { random, isUsable })).to.have.length(64);
   });
   it('are such that the call may go to, however few', () => {
@@ -99,9 +116,12 @@
   it('tell the pace of the whole service to calls that wait', () => {
     const full = drawFleet(416, 1);
     const drawn = draw(full);
-    const whole = choosePlace(full, ({ prospect }) => prospect, { ...terms, standsFor: 1 });
-    const part = choosePlace(drawn, ({ prospect }) => prospect, {
-      ...{ ...terms, standsFor: full.length / drawn.length },
+    const whole = chooseTarget(full, ({ prospect }) => prospect, {
+      ...terms,
+      targetsPerCandidate: 1,
+    });
+    const part = chooseTarget(drawn, ({ prospect }) => prospect, {
+      ...{ ...terms, targetsPerCandidate: full.length / drawn.length },
     });
     if (whole.kind !== 'wait' || part.kind !== 'wait') throw new Error('expected to wait');
     expect(part.pace / whole.pace).to.be.within(0.7, 1.4);
--- a/test/lessons.test.ts
+++ b/test/lessons.test.ts
@@ -155,7 +155,7 @@
     targets.find('alpha');
     targets.absorb({ ...LESSONS.services, late: { ...LESSONS.services.alpha, life: 900 } });
     expect(targets.find('alpha').readPattern()).to.deep.equal({ mean: 2, slow: 5, life: 150 });
-    expect(targets.find('alpha').knee.findLimit(6)).to.equal(4);
+    expect(targets.find('alpha').knee.findConcurrencyLimit(6)).to.equal(4);
     expect(targets.find('late').readPattern().life).to.equal(900);
     expect(targets.listLessons()).to.deep.equal({});
     const log = createRateLimitedLog(clock, 'error', {}, { writableLength: 0, write: () => true });
--- a/test/load.test.ts
+++ b/test/load.test.ts
@@ -2,16 +2,16 @@
 import fc from 'fast-check';
 import {
   KneeEstimate,
-  LoadBelief,
-  type Prospect,
-  SlowdownMemory,
+  LoadEstimate,
+  type CandidateLoad,
+  SlowdownModel,
   WindowBudget,
-  choosePlace,
+  chooseTarget,
   isQuicker,
   isStuck,
-  judgeNeed,
-  measureCost,
-  Standing,
+  findSecondAttemptReason,
+  computeCost,
+  Availability,
 } from '../src/balance/index.js';
 import { chooseHomes } from '../src/gateway/fleet/address-choice.js';
 import { LatencyBudgets } from '../src/gateway/requests/latency-budget.js';
@@ -22,64 +22,72 @@
 import type { Route } from '../src/routing/index.js';
 import { quietListener } from './helpers/listener.js';
 
-const IDLE: Prospect = {
-  ...{ slots: 3, calls: 0, slowdown: 1, cold: 1, failures: 0, doubtful: false, isFar: false },
+const IDLE: CandidateLoad = {
+  ...{
+    slots: 3,
+    calls: 0,
+    slowdown: 1,
+    coldFactor: 1,
+    failureRatio: 0,
+    isSuspect: false,
+    isOtherDomain: false,
+  },
 };
 
 describe('what is believed of a target', () => {
   const word = { running: 2, waiting: 0, slots: 3, slowdown: 7 };
 
   it("counts own calls exactly and the other homes' as they told", () => {
-    const belief = new LoadBelief();
+    const belief = new LoadEstimate();
     belief.start(0);
-    belief.hearHome('b', 2, 10);
-    belief.hearHome('c', 1, 10);
+    belief.observeHomeCalls('b', 2, 10);
+    belief.observeHomeCalls('c', 1, 10);
     expect(belief.countCalls(20, 3)).to.equal(4);
-    belief.hearHome('b', 0, 30);
+    belief.observeHomeCalls('b', 0, 30);
     belief.finish();
     expect(belief.countCalls(31, 3)).to.equal(1);
   });
   it('adds from a report only what nobody told of', () => {
-    const belief = new LoadBelief();
-    belief.hearHome('b', 2, 0);
-    belief.hear({ ...word, running: 2 }, 0, 10);
+    const belief = new LoadEstimate();
+    belief.observeHomeCalls('b', 2, 0);
+    belief.observeReport({ ...word, running: 2 }, 0, 10);
     expect(belief.countCalls(11, 2)).to.equal(2);
-    belief.hear({ ...word, running: 3, waiting: 3 }, 0, 20);
+    belief.observeReport({ ...word, running: 3, waiting: 3 }, 0, 20);
     expect(belief.countCalls(21, 2)).to.equal(5);
   });
   it('takes a report where a home is silent, and its own share times the homes without either', () => {
-    const belief = new LoadBelief();
+    const belief = new LoadEstimate();
     belief.start(0);
     expect(belief.countCalls(1, 3)).to.equal(3);
-    belief.hear({ ...word, running: 2 }, 1, 100);
+    belief.observeReport({ ...word, running: 2 }, 1, 100);
     expect(belief.countCalls(101, 3)).to.equal(2);
     expect(belief.countCalls(5000, 3)).to.equal(3);
   });
   it('a call that is still on its way is not in a report', () => {
-    const belief = new LoadBelief();
+    const belief = new LoadEstimate();
     belief.start(0);
     belief.start(99);
     expect(belief.countArrived(100)).to.equal(1);
   });
   it('believes the newest word of a slowdown, whoever heard it', () => {
-    const belief = new LoadBelief();
-    belief.hear(word, 0, 1000);
-    expect(belief.hearSlowdown(1, 900)).to.equal(false);
+    const belief = new LoadEstimate();
+    belief.observeReport(word, 0, 1000);
+    expect(belief.observeSlowdown(1, 900)).to.equal(false);
     expect(belief.lastSlowdown).to.equal(7);
-    expect(belief.hearSlowdown(1, 1100)).to.equal(true);
+    expect(belief.observeSlowdown(1, 1100)).to.equal(true);
     expect(belief.lastSlowdown).to.equal(1);
   });
 });
 
 describe('advice for a call', () => {
   const random = createSeededRandom(3);
-  const terms = { ahead: 0, sharers: 1, standsFor: 1, random, bodyBytes: 0 };
-  const find = (prospects: readonly Prospect[], ahead = 0) =>
-    choosePlace(prospects, (prospect) => prospect, { ...terms, ahead });
+  const terms = { callsAhead: 0, callRatio: 1, targetsPerCandidate: 1, random, bodyBytes: 0 };
+  const find = (prospects: readonly CandidateLoad[], ahead = 0) =>
+    chooseTarget(prospects, (prospect) => prospect, { ...terms, callsAhead: ahead });
 
   it('names the quick and idle one', () => {
     const quick = { ...IDLE, calls: 1 };
-    const advice = find([{ ...IDLE, slowdown: 7 }, quick, { ...IDLE, failures: 2 }]);
+    const advice = find([{ ...IDLE, slowdown: 7 }, quick, { ...IDLE, failureRatio: 2 }]);
     expect(advice).to.have.property('candidate', quick);
   });
   it('waits for a quick one rather than go to a slow one', () => {
@@ -101,8 +109,8 @@
     const far = { ...IDLE, isFar: true };
     const slow = { ...IDLE, slowdown: 7 };
     const full = { ...IDLE, calls: 3 };
-    const findFor = (prospects: readonly Prospect[], bodyBytes: number) =>
-      choosePlace(prospects, (prospect) => prospect, { ...terms, bodyBytes });
+    const findFor = (prospects: readonly CandidateLoad[], bodyBytes: number) =>
+      chooseTarget(prospects, (prospect) => prospect, { ...terms, bodyBytes });
     expect(findFor([near, far], 1000)).to.have.property('candidate', far);
     expect(findFor([near, far], 60_000)).to.have.property('candidate', near);
     expect(findFor([slow, far], 60_000)).to.have.property('candidate', far);
@@ -117,7 +125,7 @@
       { isFar: true },
       { calls: 2 },
     ]) {
-      expect(measureCost({ ...IDLE, ...worse })).to.be.greaterThan(measureCost(IDLE));
+      expect(computeCost({ ...IDLE, ...worse })).to.be.greaterThan(computeCost(IDLE));
     }
   });
 });
@@ -137,7 +145,9 @@
     ['is no last chance while the first will do', makeFirst(30, 1), { untilAim: 75 }, 'none'],
   ] as const) {
     it(`${what}: ${need}`, () => {
-      expect(judgeNeed({ ...first, ...changes }, { ...time, ...left })).to.equal(need);
+      expect(findSecondAttemptReason({ ...first, ...changes }, { ...time, ...left })).to.equal(
+        need,
+      );
     });
   }
   it('goes only where it is expected to end sooner, and before the deadline', () => {
@@ -151,7 +161,7 @@
   it('is worth it for an attempt that is long overdue, also after the aim', () => {
     const overdue = makeFirst(400, 1);
     const late = { untilAim: -100, untilDeadline: 1000 };
-    expect(judgeNeed(overdue, late)).to.equal('rescue');
+    expect(findSecondAttemptReason(overdue, late)).to.equal('rescue');
     expect(isQuicker(overdue, 1, late)).to.equal(true);
   });
   it('finds an attempt stuck at four times its expected time, where none is known to be as slow', () => {
@@ -169,7 +179,10 @@
   it('is sent as soon as a call takes longer than it would at a quick target', () => {
     const call = { work: 220, slowdown: 1.1, slow: 5, spread: 1.35 };
     const judgeAt = (elapsed: number) =>
-      judgeNeed({ ...call, elapsed }, { untilAim: 580 - elapsed, untilDeadline: 2000 - elapsed });
+      findSecondAttemptReason(
+        { ...call, elapsed },
+        { untilAim: 580 - elapsed, untilDeadline: 2000 - elapsed },
+      );
     expect(judgeAt(250)).to.equal('none');
     expect(judgeAt(330)).to.equal('rescue');
     expect(
@@ -186,20 +199,20 @@
         [bent, 1.7],
         [straight, 1.05],
       ] as const) {
-        estimate.learn(1, [0.3, 0.6], index * 10);
-        estimate.learn(factor, [1, 1], index * 10);
-        estimate.learn(factor * 3, [0.3, 1], index * 10);
+        estimate.observe(1, [0.3, 0.6], index * 10);
+        estimate.observe(factor, [1, 1], index * 10);
+        estimate.observe(factor * 3, [0.3, 1], index * 10);
       }
     }
-    expect(bent.findLimit(3)).to.equal(2);
-    expect(bent.findLimit(6)).to.equal(4);
-    expect(straight.findLimit(3)).to.equal(3);
-    expect(straight.findLimit(1)).to.equal(1);
+    expect(bent.findConcurrencyLimit(3)).to.equal(2);
+    expect(bent.findConcurrencyLimit(6)).to.equal(4);
+    expect(straight.findConcurrencyLimit(3)).to.equal(3);
+    expect(straight.findConcurrencyLimit(1)).to.equal(1);
   });
   it('changes nothing before it has seen enough', () => {
     const estimate = new KneeEstimate();
-    estimate.learn(9, [1, 1], 0);
-    expect(estimate.findLimit(6)).to.equal(6);
+    estimate.observe(9, [1, 1], 0);
+    expect(estimate.findConcurrencyLimit(6)).to.equal(6);
   });
 });
 
@@ -219,7 +232,7 @@
           const repeats: number[] = [];
           for (const [pause, tries] of steps) {
             await clock.advance(pause);
-            budget.noteRequest();
+            budget.recordRequest();
             requests.push(clock.now());
             for (let index = 0; index < tries; index += 1) {
               if (budget.spend()) repeats.push(clock.now());
@@ -263,15 +276,15 @@
       { record: { ...record, address, state: 'ready' }, revision: 1, coldUntil: 0 },
       clock,
       {
-        memory: new SlowdownMemory(),
+        memory: new SlowdownModel(),
         onOpened: () => undefined,
         listener: quietListener,
-        standing: new Standing(),
+        standing: new Availability(),
       },
     );
     queue = new SlotQueue(clock, createSeededRandom(7), () =>
       target.belief.inFlight < limit
-        ? { kind: 'now', candidate: target, prospect: { slowdown } }
+        ? { kind: 'now', candidate: target, load: { slowdown } }
         : { kind: 'wait', pace: 1, slowdown: 1 },
     );
   });
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { Standing, SlowdownMemory } from '../src/balance/index.js';
+import { Availability, SlowdownModel } from '../src/balance/index.js';
 import { type SlotAnswer, type SlotCall, SlotQueue } from '../src/gateway/targets/slot-queue.js';
 import { GatewayTarget } from '../src/gateway/targets/target.js';
 import { ManualClock, createSeededRandom } from '../src/kernel/index.js';
@@ -47,15 +47,15 @@
     },
     clock,
     {
-      memory: new SlowdownMemory(),
+      memory: new SlowdownModel(),
       onOpened: () => undefined,
       listener: quietListener,
-      standing: new Standing(),
+      standing: new Availability(),
     },
   );
   const queue = new SlotQueue(clock, random, () =>
     target.belief.inFlight < SLOTS
-      ? { kind: 'now', candidate: target, prospect: { slowdown: 1 } }
+      ? { kind: 'now', candidate: target, load: { slowdown: 1 } }
       : { kind: 'wait', pace: 1 / SLOTS, slowdown: 1 },
   );
   const played: Played[] = [];
--- a/test/poison-record.test.ts
+++ b/test/poison-record.test.ts
@@ -1,12 +1,12 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
-import { type PoisonCase, PoisonRecord, type PoisonTerms } from '../src/balance/index.js';
+import { type PoisonCase, PoisonRecord, type PoisonContext } from '../src/balance/index.js';
 import { RequestIdentity, type RequestTraits } from '../src/gateway/requests/request-identity.js';
 
 const MINUTE = 60_000;
 const DAY = 24 * 60 * MINUTE;
 
-const TERMS: PoisonTerms = { now: 0, targets: 30, releases: new Set(['v1']), isTrier: true };
+const TERMS: PoisonContext = { now: 0, targets: 30, releases: new Set(['v1']), mayRunTrials: true };
 
 const makeEnd = (target: number, release = 'v1') => ({ target, release });
 
@@ -16,36 +16,36 @@
     record = new PoisonRecord();
   });
 
-  const judge = (now: number, terms: Partial<PoisonTerms> = {}, request = 'q') =>
+  const judge = (now: number, terms: Partial<PoisonContext> = {}, request = 'q') =>
     record.judge(request, { ...TERMS, ...terms, now });
 
   describe('who is to blame', () => {
     it('is nobody without an end, a suspect after one, held out after two', () => {
       expect(judge(0).kind).to.equal('clear');
-      record.noteEnd('q', makeEnd(1), 0);
+      record.recordTargetEnd('q', makeEnd(1), 0);
       expect(judge(1).kind).to.equal('suspect');
-      record.noteEnd('q', makeEnd(2), 100);
+      record.recordTargetEnd('q', makeEnd(2), 100);
       expect(judge(101).kind).to.equal('held');
       expect(judge(101, {}, 'other').kind).to.equal('clear');
     });
     it('counts the end of one life once, whoever tells of it', () => {
-      record.noteEnd('q', makeEnd(1), 0);
+      record.recordTargetEnd('q', makeEnd(1), 0);
       const word = { request: 'q', ended: [1], releases: ['v1'], changedAt: 40 };
-      expect(record.hear(word, 50)).to.equal('known');
+      expect(record.receive(word, 50)).to.equal('known');
       expect(judge(60).kind).to.equal('suspect');
     });
     it('is nobody that a target ran to its end, and words of before say nothing', () => {
-      record.noteEnd('q', makeEnd(1), 0);
-      expect(record.noteAnswer('q', 200)?.ended).to.deep.equal([]);
+      record.recordTargetEnd('q', makeEnd(1), 0);
+      expect(record.recordAnswer('q', 200)?.ended).to.deep.equal([]);
       expect(judge(201).kind).to.equal('clear');
       const late = { request: 'q', ended: [1, 2], releases: ['v1'], changedAt: 150 };
-      expect(record.hear(late, 300)).to.equal('outdated');
+      expect(record.receive(late, 300)).to.equal('outdated');
       expect(judge(301).kind).to.equal('clear');
-      expect(record.hear({ ...late, changedAt: 350 }, 360)).to.equal('news');
+      expect(record.receive({ ...late, changedAt: 350 }, 360)).to.equal('news');
       expect(judge(361).kind).to.equal('held');
     });
     it('lets a copy wait while one of them runs', () => {
-      record.noteEnd('q', makeEnd(1), 0);
+      record.recordTargetEnd('q', makeEnd(1), 0);
       record.start('q');
       expect(judge(10)).to.include({ kind: 'held' });
       record.finish('q');
@@ -53,59 +53,59 @@
     });
     it('takes one end more while targets end by themselves', () => {
       for (let target = 10; target < 20; target += 1) {
-        record.noteEnd(`other-${target}`, makeEnd(target), 0);
+        record.recordTargetEnd(`other-${target}`, makeEnd(target), 0);
       }
-      record.noteEnd('q', makeEnd(1), 100);
-      record.noteEnd('q', makeEnd(2), 300);
+      record.recordTargetEnd('q', makeEnd(1), 100);
+      record.recordTargetEnd('q', makeEnd(2), 300);
       expect(judge(400).kind).to.equal('suspect');
-      record.noteEnd('q', makeEnd(3), 500);
+      record.recordTargetEnd('q', makeEnd(3), 500);
       expect(judge(600).kind).to.equal('held');
     });
     it('does not take the ends that several such requests cause for chance', () => {
       for (let index = 0; index < 20; index += 1) {
-        record.noteEnd(`other-${index}`, makeEnd(10 + 2 * index), 0);
-        record.noteEnd(`other-${index}`, makeEnd(11 + 2 * index), 50);
+        record.recordTargetEnd(`other-${index}`, makeEnd(10 + 2 * index), 0);
+        record.recordTargetEnd(`other-${index}`, makeEnd(11 + 2 * index), 50);
       }
-      record.noteEnd('q', makeEnd(1), 100);
-      record.noteEnd('q', makeEnd(2), 300);
+      record.recordTargetEnd('q', makeEnd(1), 100);
+      record.recordTargetEnd('q', makeEnd(2), 300);
       expect(judge(400).kind).to.equal('held');
     });
   });
 
   describe('who finds out that one is good again', () => {
     beforeEach(() => {
-      record.noteEnd('q', makeEnd(1), 0);
-      record.noteEnd('q', makeEnd(2), 100);
+      record.recordTargetEnd('q', makeEnd(1), 0);
+      record.recordTargetEnd('q', makeEnd(2), 100);
     });
     /** Asks every second for a day, and ends a target at each trial. */
-    const countEnds = (terms: Partial<PoisonTerms>) => {
+    const countEnds = (terms: Partial<PoisonContext>) => {
       let ended = 0;
       for (let now = 1000; now < DAY; now += 1000) {
         if (judge(now, terms).kind !== 'suspect') continue;
         ended += 1;
-        record.noteEnd('q', makeEnd(100 + ended), now);
+        record.recordTargetEnd('q', makeEnd(100 + ended), now);
       }
       return ended;
     };
     it('is one daemon, at the cost of two targets a day', () => {
-      expect(countEnds({ isTrier: false })).to.equal(0);
+      expect(countEnds({ mayRunTrials: false })).to.equal(0);
       expect(countEnds({})).to.equal(2);
     });
     it('tries a new release at once, and only that', () => {
       const releases = new Set(['v1', 'v2']);
       expect(judge(500, { releases })).to.deep.equal({ kind: 'suspect', avoided: ['v1'] });
-      record.noteEnd('q', makeEnd(3, 'v2'), 600);
+      record.recordTargetEnd('q', makeEnd(3, 'v2'), 600);
       expect(judge(700, { releases }).kind).to.equal('held');
     });
     it('tells the others, and who has not heard it when that one tells of it', () => {
-      const held = record.find('q');
-      record.noteAnswer('q', 20_000);
-      expect(record.hear(held ?? expect.fail('held'), 30_000)).to.equal('outdated');
+      const held = record.findCase('q');
+      record.recordAnswer('q', 20_000);
+      expect(record.receive(held ?? expect.fail('held'), 30_000)).to.equal('outdated');
       const other = new PoisonRecord();
-      other.noteEnd('q', makeEnd(1), 0);
-      other.noteEnd('q', makeEnd(2), 100);
-      const cleared = record.find('q') ?? expect.fail('remembered');
-      expect(other.hear(cleared, 30_000)).to.equal('news');
+      other.recordTargetEnd('q', makeEnd(1), 0);
+      other.recordTargetEnd('q', makeEnd(2), 100);
+      const cleared = record.findCase('q') ?? expect.fail('remembered');
+      expect(other.receive(cleared, 30_000)).to.equal('news');
       expect(other.judge('q', { ...TERMS, now: 30_001 }).kind).to.equal('clear');
     });
   });
@@ -127,9 +127,9 @@
       const collect = (words: readonly Pick<PoisonCase, 'ended' | 'changedAt'>[]) => {
         const hearing = new PoisonRecord();
         for (const { ended, changedAt } of words) {
-          hearing.hear({ request: 'q', ended, releases: ['v1'], changedAt }, 2000);
+          hearing.receive({ request: 'q', ended, releases: ['v1'], changedAt }, 2000);
         }
-        return [...(hearing.find('q')?.ended ?? [])].sort();
+        return [...(hearing.findCase('q')?.ended ?? [])].sort();
       };
       const check = fc.property(pair, ([words, mixed]) => {
         expect(collect(mixed)).to.deep.equal(collect(words));
@@ -140,23 +140,30 @@
 
   describe('memory', () => {
     it('is bounded with a hundred thousand requests cut off once, and who is held out stays', () => {
-      record.noteEnd('q', makeEnd(1), 0);
-      record.noteEnd('q', makeEnd(2), 1);
+      record.recordTargetEnd('q', makeEnd(1), 0);
+      record.recordTargetEnd('q', makeEnd(2), 1);
       for (let index = 0; index < 100_000; index += 1) {
-        record.noteEnd(`${String(index).padStart(16, '0')}-body`, makeEnd(index), 2 + index / 100);
+        record.recordTargetEnd(
+          `${String(index).padStart(16, '0')}-body`,
+          makeEnd(index),
+          2 + index / 100,
+        );
       }
-      expect(record.listSince(-Infinity).length).to.be.at.most(4096);
-      expect(record.listHeld().map(({ request }) => request)).to.deep.equal(['q']);
-      expect(record.mayKnow('0'.repeat(16))).to.equal(false);
+      expect(record.listChangedSince(-Infinity).length).to.be.at.most(4096);
+      expect(record.listHeldOut().map(({ request }) => request)).to.deep.equal(['q']);
+      expect(record.mayKnowHead('0'.repeat(16))).to.equal(false);
     });
     it('lasts a day, and a minute of those that were answered', () => {
-      record.noteEnd('q', makeEnd(1), 0);
-      record.noteEnd('a', makeEnd(1), 0);
-      record.noteAnswer('a', 10);
-      record.noteEnd('x', makeEnd(3), 2 * MINUTE);
-      expect(record.listSince(-Infinity).map(({ request }) => request)).to.have.members(['q', 'x']);
-      record.noteEnd('y', makeEnd(4), DAY + 3 * MINUTE);
-      expect(record.listSince(-Infinity).map(({ request }) => request)).to.deep.equal(['y']);
+      record.recordTargetEnd('q', makeEnd(1), 0);
+      record.recordTargetEnd('a', makeEnd(1), 0);
+      record.recordAnswer('a', 10);
+      record.recordTargetEnd('x', makeEnd(3), 2 * MINUTE);
+      expect(record.listChangedSince(-Infinity).map(({ request }) => request)).to.have.members([
+        'q',
+        'x',
+      ]);
+      record.recordTargetEnd('y', makeEnd(4), DAY + 3 * MINUTE);
+      expect(record.listChangedSince(-Infinity).map(({ request }) => request)).to.deep.equal(['y']);
     });
   });
 });
--- a/test/poison.test.ts
+++ b/test/poison.test.ts
@@ -244,7 +244,7 @@
 describe('where a request under which a target has ended goes', () => {
   const NOW = 1_700_000_000_000;
   const clock = new ManualClock(NOW);
-  const care = { avoided: [] };
+  const care = { avoidedReleases: [] };
   let service: TargetService;
   const add = (view: FleetView, name: string, record: Partial<TargetRecord>) => {
     const address = { host: '127.0.0.1', port: 1 };
@@ -300,8 +300,8 @@
     expect(choose({ care: undefined })).to.equal('wait');
   });
   it('is none of a release that it has ended', () => {
-    expect(choose({ care: { avoided: ['v1'] } })).to.equal('young');
-    expect(choose({ care: { avoided: ['v1', 'v2'] } })).to.equal('none');
+    expect(choose({ care: { avoidedReleases: ['v1'] } })).to.equal('young');
+    expect(choose({ care: { avoidedReleases: ['v1', 'v2'] } })).to.equal('none');
   });
   it('is avoided by others while there is room elsewhere', () => {
     find('old-1').suspects = 1;
--- a/test/shared-rate.test.ts
+++ b/test/shared-rate.test.ts
@@ -3,7 +3,7 @@
  * is a home: homes come and go, the fleet is split, callers pause and come all at once.
  */
 import { expect } from 'chai';
-import { NamedRate, RateBucket, computeOwnRate } from '../src/balance/index.js';
+import { AdvertisedRate, RateLimiter, computeOwnRate } from '../src/balance/index.js';
 import { type Random, createSeededRandom } from '../src/kernel/index.js';
 import { decodeDatagram, encodeDatagram } from '../src/peering/datagram.js';
 import { parseRate } from '../src/platform/index.js';
@@ -155,10 +155,10 @@
         const random = createSeededRandom(history);
         const homes = 1 + Math.floor(random.next() * 8);
         const fleet = new Fleet(random, 9 + Math.floor(random.next() * 30), homes);
-        const named = new NamedRate();
-        named.hear({ rate, at: 0 }, 0, true);
+        const named = new AdvertisedRate();
+        named.observe({ rate, at: 0 }, 0, true);
         const shared = named.read(0) ?? expect.fail('the rate is named');
-        const buckets = fleet.names.map(() => new RateBucket());
+        const buckets = fleet.names.map(() => new RateLimiter());
         const arrivals: number[] = [];
         let rates: readonly number[] = [];
         let isPaused = false;
@@ -171,7 +171,7 @@
           }
           if (random.next() < 0.01) isPaused = !isPaused;
           for (const [daemon, bucket] of buckets.entries()) {
-            if (!bucket.has(now, rates[daemon]) || isPaused) continue;
+            if (!bucket.maySend(now, rates[daemon]) || isPaused) continue;
             bucket.take();
             arrivals.push(now + CONNECTING * random.next());
           }
@@ -181,20 +181,21 @@
     }).timeout(60_000);
 
     it(`of ${rate} a second is used while nothing changes`, () => {
-      const named = new NamedRate();
-      named.hear({ rate, at: 0 }, 0, true);
+      const named = new AdvertisedRate();
+      named.observe({ rate, at: 0 }, 0, true);
       const shared = named.read(0) ?? expect.fail('the rate is named');
       for (let homes = 1; homes <= 8; homes += 1) {
         // Until its first change, which comes after the time looked at.
         const fleet = new Fleet({ ...createSeededRandom(1), next: () => 1 }, 20, homes);
-        const buckets = fleet.names.map(() => new RateBucket());
+        const buckets = fleet.names.map(() => new RateLimiter());
         let sent = 0;
         for (let now = 0; now < 40 * SECOND; now += STEP) {
           if (now < 2 * SECOND) fleet.step(now);
           // Nobody forgets its askers, as all of them ask on.
           const at = Math.min(now, 2 * SECOND);
           for (const [daemon, bucket] of buckets.entries()) {
-            if (!bucket.has(now, computeOwnRate(shared, fleet.readShare(daemon, at), 7))) continue;
+            if (!bucket.maySend(now, computeOwnRate(shared, fleet.readShare(daemon, at), 7)))
+              continue;
             bucket.take();
             sent += 1;
           }
@@ -207,22 +208,22 @@
 
 describe('the word of a target on its rate', () => {
   it('is the newest by when the target said it, whoever tells of it', () => {
-    const named = new NamedRate();
-    expect(named.hear({ rate: 3, at: 1000 }, 1000, true)).to.deep.equal({
+    const named = new AdvertisedRate();
+    expect(named.observe({ rate: 3, at: 1000 }, 1000, true)).to.deep.equal({
       ...{ before: undefined, rate: 3 },
     });
     // Another daemon's word that is older, and an answer whose call was sent before.
-    expect(named.hear({ rate: 8, at: 900 }, 1100, false)).to.equal(undefined);
-    expect(named.hear({ rate: undefined, at: 950 }, 1200, true)).to.equal(undefined);
+    expect(named.observe({ rate: 8, at: 900 }, 1100, false)).to.equal(undefined);
+    expect(named.observe({ rate: undefined, at: 950 }, 1200, true)).to.equal(undefined);
     expect(named.read(1200)?.rate).to.equal(3);
-    expect(named.hear({ rate: 5, at: 1300 }, 1400, false)?.rate).to.equal(5);
+    expect(named.observe({ rate: 5, at: 1300 }, 1400, false)?.rate).to.equal(5);
     expect(named.read(1400)?.rate).to.equal(5);
   });
 
   it('that ends lets what it gets rise over two seconds', () => {
-    const named = new NamedRate();
-    named.hear({ rate: 2, at: 0 }, 0, true);
-    named.hear({ rate: undefined, at: 900 }, 1000, true);
+    const named = new AdvertisedRate();
+    named.observe({ rate: 2, at: 0 }, 0, true);
+    named.observe({ rate: undefined, at: 900 }, 1000, true);
     const rates = [1000, 1200, 1400, 2000, 2999].map((now) => named.read(now)?.rate);
     expect(rates.slice(0, 3)).to.deep.equal([2, 4, 8]);
     expect(rates[3]).to.be.within(60, 70);
@@ -230,22 +231,22 @@
   });
 
   it('of nothing at all leaves one request in four seconds, at one home', () => {
-    const named = new NamedRate();
-    named.hear({ rate: 0, at: 0 }, 0, true);
+    const named = new AdvertisedRate();
+    named.observe({ rate: 0, at: 0 }, 0, true);
     expect(named.read(10)).to.deep.equal({ rate: 0.25, sharers: 1 });
   });
 
   it('is told on by whoever heard it from the target, and for a while after its end', () => {
-    const named = new NamedRate();
-    expect(named.readNews(0)).to.equal(undefined);
-    named.hear({ rate: 3, at: 10 }, 10, false);
-    expect(named.readNews(10)).to.equal(undefined);
-    named.hear({ rate: 3, at: 20 }, 20, true);
-    named.hear({ rate: 3, at: 25 }, 30, false);
-    expect(named.readNews(30)?.rate).to.equal(3);
-    named.hear({ rate: undefined, at: 40 }, 50, true);
-    expect(named.readNews(60)).to.deep.equal({ rate: undefined, at: 40 });
-    expect(named.readNews(2050)).to.equal(undefined);
+    const named = new AdvertisedRate();
+    expect(named.readAnnouncement(0)).to.equal(undefined);
+    named.observe({ rate: 3, at: 10 }, 10, false);
+    expect(named.readAnnouncement(10)).to.equal(undefined);
+    named.observe({ rate: 3, at: 20 }, 20, true);
+    named.observe({ rate: 3, at: 25 }, 30, false);
+    expect(named.readAnnouncement(30)?.rate).to.equal(3);
+    named.observe({ rate: undefined, at: 40 }, 50, true);
+    expect(named.readAnnouncement(60)).to.deep.equal({ rate: undefined, at: 40 });
+    expect(named.readAnnouncement(2050)).to.equal(undefined);
   });
 
   it('is a plain decimal number', () => {
--- a/test/speed.test.ts
+++ b/test/speed.test.ts
@@ -1,10 +1,10 @@
 import { expect } from 'chai';
 import {
   KneeEstimate,
-  ReportTrail,
+  SlowdownHistory,
   RouteTime,
-  SlowdownMemory,
-  judgeLateness,
+  SlowdownModel,
+  findLatenessCause,
 } from '../src/balance/index.js';
 import { createSeededRandom } from '../src/kernel/index.js';
 
@@ -21,16 +21,16 @@
 
 describe('how long a slowdown lasts', () => {
   const learn = (life: number, pace: number) => {
-    const memory = new SlowdownMemory();
+    const memory = new SlowdownModel();
     const targets = Array.from({ length: 24 }, (_, index) => ({
       readSpeed: drawSpeeds(life, { seed: index + 1 }),
-      trail: new ReportTrail(memory),
+      trail: new SlowdownHistory(memory),
     }));
     for (let at = 0; at < 12_000; at += pace) {
       for (const [index, { readSpeed, trail }] of targets.entries()) {
         const reportedAt = at + index;
-        trail.note(1 / readSpeed(reportedAt), reportedAt);
-        memory.note(1 / readSpeed(reportedAt), reportedAt);
+        trail.record(1 / readSpeed(reportedAt), reportedAt);
+        memory.record(1 / readSpeed(reportedAt), reportedAt);
       }
     }
     return memory.read(12_000);
@@ -48,10 +48,10 @@
     });
   }
   it('is what is usual until enough has been seen, and where nothing changes', () => {
-    const memory = new SlowdownMemory();
+    const memory = new SlowdownModel();
     expect(memory.read(0).life).to.equal(500);
-    const trail = new ReportTrail(memory);
-    for (let at = 0; at < 9000; at += 50) trail.note(1, at);
+    const trail = new SlowdownHistory(memory);
+    for (let at = 0; at < 9000; at += 50) trail.record(1, at);
     expect(memory.read(9000).life).to.equal(500);
   });
 });
@@ -59,25 +59,25 @@
 describe('how slow a target was at a moment', () => {
   const pattern = { mean: 2, slow: 5, life: 150 };
   const makeTrail = (...reports: readonly (readonly [number, number])[]) => {
-    const trail = new ReportTrail(new SlowdownMemory());
-    for (const [at, slowdown] of reports) trail.note(slowdown, at);
+    const trail = new SlowdownHistory(new SlowdownModel());
+    for (const [at, slowdown] of reports) trail.record(slowdown, at);
     return trail;
   };
   it('is told by the report before it, the less the older that is', () => {
     const trail = makeTrail([1000, 5]);
-    expect(trail.read(1000, pattern)).to.equal(5);
-    expect(trail.read(1075, pattern)).to.equal(3.5);
-    expect(trail.read(1150, pattern)).to.equal(2);
-    expect(trail.read(900, pattern)).to.equal(5 / 3 + 2 * (2 / 3));
+    expect(trail.estimate(1000, pattern)).to.equal(5);
+    expect(trail.estimate(1075, pattern)).to.equal(3.5);
+    expect(trail.estimate(1150, pattern)).to.equal(2);
+    expect(trail.estimate(900, pattern)).to.equal(5 / 3 + 2 * (2 / 3));
   });
   it('is told by the reports around it, and not by later ones', () => {
     const trail = makeTrail([1000, 1], [1100, 1], [1200, 1], [1300, 5], [1400, 5]);
-    expect(trail.read(1050, pattern)).to.equal(1);
-    expect(trail.read(1250, pattern)).to.be.closeTo(3, 1e-9);
+    expect(trail.estimate(1050, pattern)).to.equal(1);
+    expect(trail.estimate(1250, pattern)).to.be.closeTo(3, 1e-9);
   });
   it('is the mean where nobody reported', () => {
-    expect(makeTrail().read(10, pattern)).to.equal(2);
-    expect(makeTrail([1000, 5], [1000, 1]).read(1000, pattern)).to.equal(5);
+    expect(makeTrail().estimate(10, pattern)).to.equal(2);
+    expect(makeTrail([1000, 5], [1000, 1]).estimate(1000, pattern)).to.equal(5);
   });
 });
 
@@ -86,37 +86,37 @@
     const time = new RouteTime();
     const random = createSeededRandom(2);
     for (let index = 0; index < 3000; index += 1) {
-      time.noteWork(200, index * 10);
-      time.noteRatio(0.5 + random.next());
+      time.recordWork(200, index * 10);
+      time.recordRatio(0.5 + random.next());
     }
     expect(time.readWork()).to.be.closeTo(200, 1);
     expect(time.readSpread()).to.be.within(1.25, 1.45);
-    for (let index = 0; index < 300; index += 1) time.noteRatio(20);
+    for (let index = 0; index < 300; index += 1) time.recordRatio(20);
     expect(time.readSpread()).to.be.within(1.25, 1.45);
   });
   it('a call is charged what its crowded target added', () => {
     const knee = new KneeEstimate();
     for (let index = 0; index < 60; index += 1) {
-      knee.learn(1, [0.2, 0.5], index);
-      knee.learn(1.7, [1, 1], index);
+      knee.observe(1, [0.2, 0.5], index);
+      knee.observe(1.7, [1, 1], index);
     }
-    expect(knee.learn(1.7, [1, 1], 100)).to.be.closeTo(1.7, 0.01);
-    expect(knee.learn(1, [0.2, 0.5], 100)).to.equal(1);
+    expect(knee.observe(1.7, [1, 1], 100)).to.be.closeTo(1.7, 0.01);
+    expect(knee.observe(1, [0.2, 0.5], 100)).to.equal(1);
   });
 });
 
 describe('why an answer was late', () => {
-  const times = { aimLeft: 500, waited: 0, held: 900, sendings: 1 };
+  const times = { aimLeft: 500, waited: 0, held: 900, attempts: 1 };
   for (const [changes, why] of [
     [{ held: 500 }, 'in-time'],
     [{ aimLeft: -30 }, 'came-late'],
     [{ aimLeft: 150 }, 'came-late'],
     [{ waited: 350 }, 'waited'],
-    [{ sendings: 2 }, 'second-attempt'],
+    [{ attempts: 2 }, 'second-attempt'],
     [{}, 'slow-target'],
   ] as const) {
     it(`${JSON.stringify(changes)}: ${why}`, () => {
-      expect(judgeLateness({ ...times, ...changes }, 200)).to.equal(why);
+      expect(findLatenessCause({ ...times, ...changes }, 200)).to.equal(why);
     });
   }
 });
