--- a/src/gateway/fleet/place.ts
+++ b/src/gateway/fleet/fleet-role.ts
@@ -4,7 +4,7 @@
 import type { PeerLink, Roster } from '../../peering/index.js';
 
 /** What the place is made from. */
-export interface FleetPlaceOptions {
+export interface FleetRoleOptions {
   readonly clock: Clock;
   /** The daemons known, once there is a roster. */
   readonly readRoster: () => Roster;
@@ -12,7 +12,7 @@
   /** The link to the others, once it is made. */
   readonly readLink: () => Pick<PeerLink, 'hasJoined' | 'countPollers' | 'countHomePollers'>;
   /** Daemons that the store's list named; the roster may know fewer at first. */
-  readonly countListed: () => number;
+  readonly countListedDaemons: () => number;
 }
 
 /** Readers of the store: two, so that one may die without anybody noticing late. */
@@ -22,10 +22,10 @@
 const SETTLE_TIME = 1500;
 
 /** The place of one daemon. */
-export class FleetPlace {
+export class FleetRole {
   #startedAt = -Infinity;
 
-  constructor(private readonly options: FleetPlaceOptions) {}
+  constructor(private readonly options: FleetRoleOptions) {}
 
   /** Notes that this daemon starts. */
   start(): void {
@@ -61,13 +61,13 @@
   }
 
   /** Whether it reads the store for all, as the first homes do. */
-  isAppointedReader(): boolean {
+  isDesignatedReader(): boolean {
     return this.listHomes().slice(0, READERS).includes(this.options.self);
   }
 
   /** What this daemon stands for in the fleet; it has no part of it before it can know the fleet. */
   readShare(): FleetShare {
-    const { self, readRoster, readLink, countListed } = this.options;
+    const { self, readRoster, readLink, countListedDaemons: countListed } = this.options;
     const link = readLink();
     const homes = this.listHomes();
     if (this.isNew || !link.hasJoined) return { part: 0, homes, self };
--- a/src/gateway/fleet/home-planner.ts
+++ b/src/gateway/fleet/home-planner.ts
@@ -1,7 +1,7 @@
 /** Measures how busy this daemon is and, while it is the first home, plans how many homes there are. */
 import type { Clock, Log } from '../../kernel/index.js';
 import { HomeScaler, type Roster } from '../../peering/index.js';
-import { BusyMeter, createUtilizationReader } from './busy-meter.js';
+import { UtilisationMeter, createUtilizationReader } from './utilisation-meter.js';
 
 /** What the planner is made from. */
 export interface HomePlannerOptions {
@@ -12,7 +12,7 @@
   readonly self: string;
   readonly capacity: number;
   /** Homes that the settings ask for at least. */
-  readonly readLeast: () => number;
+  readonly readMinHomes: () => number;
 }
 
 /** Time between two looks, in milliseconds. */
@@ -22,16 +22,16 @@
 export class HomePlanner {
   readonly #plan = new HomeScaler();
 
-  readonly #meter: BusyMeter;
+  readonly #meter: UtilisationMeter;
 
   #busy = 0;
 
   constructor(private readonly options: HomePlannerOptions) {
-    this.#meter = new BusyMeter(options.clock, createUtilizationReader());
+    this.#meter = new UtilisationMeter(options.clock, createUtilizationReader());
   }
 
   /** The part of its time in which this daemon was at work of late, from 0 to 1. */
-  get busy(): number {
+  get utilisation(): number {
     return this.#busy;
   }
 
@@ -46,7 +46,7 @@
   }
 
   #planHomes(): void {
-    const { clock, log, roster, readLeast, capacity } = this.options;
+    const { clock, log, roster, readMinHomes: readLeast, capacity } = this.options;
     const before = Math.max(roster.desiredHomes, roster.listHomes().length);
     const busy = [{ utilisation: this.#busy, capacity }, ...roster.listHomeUtilisations()];
     const load = { homes: before, minHomes: readLeast(), utilisations: busy, now: clock.now() };
--- a/src/gateway/fleet/knowledge-exchange.ts
+++ b/src/gateway/fleet/knowledge-exchange.ts
@@ -21,7 +21,7 @@
   readonly duty: ReaderRole;
   readonly feed: FeedClient;
   /** Requests under which targets ended, as far as others are to know of them. */
-  readonly listCases: () => readonly PoisonReport[];
+  readonly listPoisonReports: () => readonly PoisonReport[];
 }
 
 /** The exchange of one daemon. */
@@ -30,7 +30,7 @@
 
   /** What this daemon knows now. */
   read(): Knowledge {
-    const { clock, view, roster, listCases } = this.options;
+    const { clock, view, roster, listPoisonReports: listCases } = this.options;
     return {
       position: view.position,
       proofAge: clock.now() - view.provenAt,
@@ -44,7 +44,7 @@
   }
 
   /** Takes what another daemon knows, and fetches it when it is more. */
-  async hear(from: MemberInfo, knowledge: Knowledge): Promise<void> {
+  async receive(from: MemberInfo, knowledge: Knowledge): Promise<void> {
     const { clock, self, view, roster, duty, feed } = this.options;
     duty.recordAnswer();
     if (this.#isPlanFrom(from.ip)) roster.setDesiredHomes(knowledge.desiredHomes);
--- a/src/gateway/fleet/busy-meter.ts
+++ b/src/gateway/fleet/utilisation-meter.ts
@@ -21,7 +21,7 @@
 }
 
 /** Follows the part that was work. */
-export class BusyMeter {
+export class UtilisationMeter {
   readonly #busy = new DecayingMean(HALF_LIFE);
 
   constructor(
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -27,19 +27,19 @@
 import { chooseHomes } from './fleet/address-choice.js';
 import { CallerServer, computeListenQueue } from './requests/caller-server.js';
 import { serveDirectory, serveMetrics, serveReadiness } from './directory.js';
-import { LoadSharing } from './targets/load-sharing.js';
+import { LoadExchange } from './targets/load-exchange.js';
 import { HomePlanner } from './fleet/home-planner.js';
 import { KnowledgeExchange } from './fleet/knowledge-exchange.js';
-import { FleetPlace } from './fleet/place.js';
+import { FleetRole } from './fleet/fleet-role.js';
 import { PoisonRegistry } from './requests/poison-registry.js';
 import { LearnedStateStore } from './learned-state.js';
 import { Prober } from './targets/prober.js';
 import { RequestHandler } from './requests/request-handler.js';
 import type { GatewaySettings } from './settings.js';
 import { type GatewayStatus, describeStatus, listGauges } from './status.js';
-import type { Coldness } from './targets/own-rates.js';
+import type { ColdStartLimits } from './targets/local-rate-limits.js';
 import { TargetSet } from './targets/target-set.js';
-import { TargetNews } from './targets/target-news.js';
+import { TargetEventLog } from './targets/target-events.js';
 import { EventLoopMonitor, createEventLoopSource } from './event-loop-monitor.js';
 
 /** A view that was the newest this shortly ago is proven. */
@@ -135,7 +135,7 @@
 
   readonly #prober: Prober;
 
-  readonly #sharing: LoadSharing;
+  readonly #sharing: LoadExchange;
 
   readonly #servers: Server[] = [];
 
@@ -154,7 +154,7 @@
   /** Changes of targets since the last refresh, as the fields of their lines. */
   #changes: LogFields[] = [];
 
-  readonly #place: FleetPlace;
+  readonly #place: FleetRole;
 
   readonly #planner: HomePlanner;
 
@@ -182,9 +182,9 @@
       isSenior: this.#isSenior(),
     });
     const selfState = () => this.#state;
-    this.#place = new FleetPlace({
+    this.#place = new FleetRole({
       ...{ clock, self: gateway.ip, readRoster: () => this.#roster, readLink: () => this.#link },
-      countListed: () => this.#listedMembers,
+      countListedDaemons: () => this.#listedMembers,
     });
     this.#roster = new Roster({
       ...{ clock, self: readSelf(), readSelfState: selfState },
@@ -194,13 +194,13 @@
       ...{ clock, random, domain: gateway.domain },
       findRegion: (domain) => this.#findRegion(domain),
       countHomes: () => this.#roster.listHomes().length,
-      countTellers: () => this.#sharing.countTellers(),
-      readColdness: (service) => this.#readColdness(service),
+      countReportingHomes: () => this.#sharing.countReportingHomes(),
+      readColdStartLimits: (service) => this.#readColdness(service),
       readShare: () => this.#place.readShare(),
-      listener: new TargetNews(log, this.#metrics, (target) =>
-        this.#targets.find(target.record.service).rates.refresh(target),
+      listener: new TargetEventLog(log, this.#metrics, (target) =>
+        this.#targets.getService(target.record.service).rateLimits.refresh(target),
       ),
-      createBudget: () =>
+      createRetryBudget: () =>
         new WindowBudget(clock, () => {
           const { retry_ratio: ratio, retry_window, retry_slack } = this.#settings.promises;
           const share = this.#place.isHome()
@@ -232,7 +232,7 @@
     this.#duty = new ReaderRole(
       clock,
       {
-        isDesignated: () => this.#place.isAppointedReader(),
+        isDesignated: () => this.#place.isDesignatedReader(),
         isNearHomes: () => this.#roster.isNearHomes(),
       },
       () => this.#planNews(),
@@ -248,7 +248,7 @@
     const [port = 0] = gateway.peer_ports;
     this.#planner = new HomePlanner({
       ...{ clock, log, roster: this.#roster, self: gateway.ip, capacity },
-      readLeast: () => this.#settings.tuning.homes,
+      readMinHomes: () => this.#settings.tuning.homes,
     });
     this.#link = new PeerLink({
       ...{
@@ -260,15 +260,15 @@
       ...{
         clock,
         log,
-        readUtilisation: () => this.#planner.busy,
+        readUtilisation: () => this.#planner.utilisation,
         readTimes: () => this.#planNews(),
       },
       readKnowledge: () => this.#exchange.read(),
       onKnowledge: (from, knowledge) => {
-        this.#exchange.hear(from, knowledge).catch(() => undefined);
+        this.#exchange.receive(from, knowledge).catch(() => undefined);
       },
-      onLoadReports: (from, shares) => this.#sharing.hear(from, shares),
-      onDrainingReports: (from, shares) => this.#sharing.takeDraining(from, shares),
+      onLoadReports: (from, shares) => this.#sharing.receive(from, shares),
+      onDrainingReports: (from, shares) => this.#sharing.receiveDraining(from, shares),
       onPoisonReports: (from, cases) => this.#poison.receive(from, cases),
     });
     this.#poison = new PoisonRegistry({
@@ -286,7 +286,11 @@
     });
     this.#exchange = new KnowledgeExchange({
       ...{ clock, self: gateway.ip, view: this.#view, roster: this.#roster, reader: this.#reader },
-      ...{ duty: this.#duty, feed: this.#feed, listCases: () => this.#poison.listReports() },
+      ...{
+        duty: this.#duty,
+        feed: this.#feed,
+        listPoisonReports: () => this.#poison.listReports(),
+      },
     });
     this.#registry = new MemberRegistry({
       ...{ store, roster: this.#roster, clock, log, isFirstStart: isFirstStart(gateway) },
@@ -301,7 +305,7 @@
       isFirstStart: isFirstStart(gateway),
       isWriter: () => this.#place.isFirstHome(),
       readLearnedState: () => ({
-        services: this.#targets.listLessons(),
+        services: this.#targets.readLearnedState(),
         routes: this.#reception.readLearnedState(),
         homes: this.#roster.desiredHomes,
         poison: this.#poison.listForStore(),
@@ -309,7 +313,7 @@
       onFound: ({ services, routes, homes, poison }) => {
         this.#poison.restore(poison);
         if (this.#roster.desiredHomes < homes) this.#roster.setDesiredHomes(homes);
-        this.#targets.absorb(services);
+        this.#targets.restoreLearnedState(services);
         this.#reception.restoreLearnedState(routes);
       },
     });
@@ -328,7 +332,7 @@
       listenQueue: computeListenQueue(capacity),
       serve: (request, response, cameAt) => this.#reception.handle(request, response, cameAt),
     });
-    this.#sharing = new LoadSharing({
+    this.#sharing = new LoadExchange({
       ...{ clock, targets: this.#targets, self: gateway.ip },
       listHomes: () => this.#place.listHomes(),
       isServing: () => this.#targets.isServing(clock.now()),
@@ -341,8 +345,8 @@
       interval: Math.max(tuning.probe_interval, (2 * 1000) / promises.probes_per_second),
       ...{ self: gateway.ip, listHomes: () => this.#roster.listHomes() },
       readTable: () => this.#view.table,
-      readBusy: () => this.#planner.busy,
-      readLimit: () => this.#settings.promises.probes_per_second,
+      readUtilisation: () => this.#planner.utilisation,
+      readProbeLimit: () => this.#settings.promises.probes_per_second,
       countDaemons: () => this.#place.countDaemons(),
     });
   }
@@ -480,11 +484,11 @@
     return domains.find((placed) => placed.domain === domain)?.region;
   }
 
-  #readColdness(service: string): Coldness {
+  #readColdness(service: string): ColdStartLimits {
     const { cold_overshoot: overshoot, cold_slack: slack } = this.#settings.promises;
     const spec = this.#view.table?.findService(service);
     const { coldRate: rate = Infinity, coldTime: time = 0 } = spec ?? {};
-    return { rate, time, overshoot, slack };
+    return { rate, duration: time, overshoot, slack };
   }
 
   #isSenior(): boolean {
@@ -548,14 +552,19 @@
   async #trim(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await this.#clock.sleep(TRIM_PACE, signal);
-      this.#targets.trim();
+      this.#targets.runPeriodicChecks();
     }
   }
 
   #readStatus(): GatewayStatus {
     const homes = this.#place.listHomes();
     return {
-      ...{ state: this.#state, homes, isHome: this.#place.isHome(), busy: this.#planner.busy },
+      ...{
+        state: this.#state,
+        homes,
+        isHome: this.#place.isHome(),
+        busy: this.#planner.utilisation,
+      },
       members: this.#roster.size,
       version: this.#view.table?.version,
       proofAge: this.#clock.now() - this.#view.provenAt,
@@ -568,9 +577,9 @@
       evacuated: this.#view.evacuations.domains,
       heldOut: this.#poison.heldOutCount,
       probes: this.#prober.sent,
-      opened: this.#targets.opened,
+      opened: this.#targets.connectionsOpened,
       storeCalls: this.kernel.find(kvStoreService).counts(),
-      services: this.#targets.list(),
+      services: this.#targets.listServices(),
     };
   }
 
--- a/src/gateway/requests/attempt.ts
+++ b/src/gateway/requests/attempt.ts
@@ -9,7 +9,7 @@
 import type { Readable } from 'node:stream';
 import type { Clock } from '../../kernel/index.js';
 import { HEADERS, type SelfReport, decodeSelfReport, readHeader } from '../../platform/index.js';
-import { type TargetConnection, readRestLimit } from '../targets/connections.js';
+import { type TargetConnection, parseIdleLimit } from '../targets/connections.js';
 import type { GatewayTarget } from '../targets/target.js';
 
 /** What is sent. */
@@ -98,7 +98,7 @@
     readonly startedAt: number,
     private readonly clock: Clock,
   ) {
-    this.callsAtStart = target.belief.countCalls(startedAt, 1);
+    this.callsAtStart = target.load.countCalls(startedAt, 1);
     this.done = new Promise((resolve) => {
       this.#resolve = resolve;
     });
@@ -107,7 +107,7 @@
   async send(isRepeatable: boolean): Promise<void> {
     const { target } = this;
     const longest = isRepeatable ? ANY_REST : FRESH_REST;
-    const taken = await target.connections.take(target.keepsOrder ? longest : -1);
+    const taken = await target.connections.take(target.isReuseSafe ? longest : -1);
     if (this.#isAborted) {
       if (taken.kind === 'connected') taken.connection.socket.emit('free');
       this.#settle({ kind: 'cancelled', sent: false });
@@ -144,7 +144,7 @@
     if (this.#isSettled) return;
     this.#isSettled = true;
     const resolve = (isEnded: boolean) => this.#resolve({ kind: 'lost', reason, isEnded });
-    this.target.findEnded().then(resolve, () => resolve(false));
+    this.target.checkEnded().then(resolve, () => resolve(false));
   }
 
   #write(connection: TargetConnection): void {
@@ -173,15 +173,15 @@
     const report = decodeSelfReport(status, headers);
     const echoed = readHeader(headers, HEADERS.requestId);
     if (echoed !== undefined && echoed !== this.sending.requestId) {
-      target.noteDraining(report.draining);
-      target.noteStrayBytes();
+      target.receiveDraining(report.draining);
+      target.recordStrayBytes();
       this.#settle({
         ...{ kind: 'lost', reason: 'the answer belongs to another request', isEnded: false },
       });
       connection.socket.destroy();
       return;
     }
-    connection.restLimit = readRestLimit(readHeader(headers, 'keep-alive'));
+    connection.idleLimit = parseIdleLimit(readHeader(headers, 'keep-alive'));
     this.#takeReport(report, status);
     if (report.isRejected || report.isMisdirected) {
       response.resume();
@@ -194,9 +194,9 @@
   #takeReport(report: SelfReport, status: number): void {
     const { target, startedAt } = this;
     // The answered call is still counted here, and no longer there.
-    const own = target.belief.countArrived(this.clock.now()) - 1;
+    const own = target.load.countArrived(this.clock.now()) - 1;
     const isGood = !report.isRejected && report.isSigned && status < SERVER_ERROR;
-    target.takeReport(report, { askedAt: startedAt, own, isGood });
+    target.receiveReport(report, { sentAt: startedAt, ownCalls: own, isSuccess: isGood });
   }
 
   #hold(response: IncomingMessage, isSigned: boolean): void {
@@ -241,7 +241,7 @@
   options: { readonly isRepeatable: boolean; readonly clock: Clock },
 ): RunningAttempt {
   const attempt = new TargetAttempt(target, sending, options.clock.now(), options.clock);
-  attempt.done.then(() => target.belief.finish()).catch(() => undefined);
+  attempt.done.then(() => target.load.finish()).catch(() => undefined);
   attempt.send(options.isRepeatable).catch(() => undefined);
   return attempt;
 }
--- a/src/gateway/requests/forwarding.ts
+++ b/src/gateway/requests/forwarding.ts
@@ -29,7 +29,12 @@
 import { RequestLog } from './request-log.js';
 import type { PoisonRegistry } from './poison-registry.js';
 import type { RequestIdentity } from './request-identity.js';
-import type { PlaceCare, Refusal, SlotAnswer, SlotCall } from '../targets/slot-queue.js';
+import type {
+  SuspectConstraints,
+  PlacementRefusal,
+  PlacementResult,
+  SlotCall,
+} from '../targets/slot-queue.js';
 import type { GatewayTarget } from '../targets/target.js';
 import type { TargetService } from '../targets/target-service.js';
 
@@ -83,7 +88,7 @@
 /** What can happen while a request is served. */
 type Happening =
   | { readonly kind: 'ended'; readonly attempt: RunningAttempt; readonly outcome: AttemptOutcome }
-  | { readonly kind: 'placed'; readonly answer: SlotAnswer }
+  | { readonly kind: 'placed'; readonly answer: PlacementResult }
   | { readonly kind: 'look' }
   | { readonly kind: 'deadline' }
   | { readonly kind: 'gone' };
@@ -111,11 +116,11 @@
 const PROMISES = new Set([408, 421, 429, 503]);
 
 /** Why a request is ended without a target's answer. */
-type GivingUp = Refusal | 'timeout' | 'lost' | 'poison';
+type GivingUp = PlacementRefusal | 'timeout' | 'lost' | 'poison';
 
 /** Gives back a slot that is not used after all. */
-function giveBack(answer: SlotAnswer): void {
-  if (answer.kind === 'target') answer.target.belief.finish();
+function giveBack(answer: PlacementResult): void {
+  if (answer.kind === 'target') answer.target.load.finish();
 }
 
 /** Serves one request. */
@@ -142,7 +147,7 @@
   #waiting: SlotCall | undefined;
 
   /** How carefully the request is placed, when targets have ended under it. */
-  #care: PlaceCare | undefined;
+  #care: SuspectConstraints | undefined;
 
   readonly #onSlow = () => this.#happen({ kind: 'look' });
 
@@ -163,7 +168,7 @@
   async run(): Promise<void> {
     const { clock } = this.context;
     const { request } = this;
-    request.service.noteCall();
+    request.service.recordCall();
     this.#timers.push(
       clock.schedule(request.deadline - clock.now(), () => this.#happen({ kind: 'deadline' })),
     );
@@ -177,8 +182,8 @@
         if (happening.kind === 'placed') giveBack(happening.answer);
       }
       for (const timer of this.#timers) timer.cancel();
-      for (const target of this.#tried) target.onSlow.delete(this.#onSlow);
-      if (this.#waiting !== undefined) request.service.queue.leave(this.#waiting);
+      for (const target of this.#tried) target.slowListeners.delete(this.#onSlow);
+      if (this.#waiting !== undefined) request.service.queue.remove(this.#waiting);
       for (const attempt of this.#running) attempt.abort();
     }
   }
@@ -248,7 +253,7 @@
       tried: this.#tried,
       bodyBytes: request.bodyBytes,
       regions: request.route.regions,
-      care: this.#care,
+      suspect: this.#care,
     };
     if (request.deadline - clock.now() < LEAST_TIME) {
       this.#giveUp('timeout');
@@ -287,7 +292,7 @@
   }
 
   /** Starts an attempt at the target that was given, or tells the caller that there is none. */
-  #place(answer: SlotAnswer): void {
+  #place(answer: PlacementResult): void {
     this.#waiting = undefined;
     const left = this.request.deadline - this.context.clock.now();
     if (answer.kind === 'refused') {
@@ -310,7 +315,7 @@
     this.#sendings += 1;
     this.#log.noteSent();
     this.#ledger.noteSent();
-    if (target.named.isLimited) {
+    if (target.advertisedRate.isLimited) {
       this.context.metrics.count('limited_calls', { service: request.service.name });
     }
     const attempt = startTargetAttempt(
@@ -324,7 +329,7 @@
     );
     this.#running.add(attempt);
     if (this.#care !== undefined) this.#watchSuspect(attempt);
-    if (this.#isRepeatable) target.onSlow.add(this.#onSlow);
+    if (this.#isRepeatable) target.slowListeners.add(this.#onSlow);
     attempt.done
       .then((outcome) => this.#happen({ kind: 'ended', attempt, outcome }))
       .catch((error: Error) => this.context.log.error('request.broken', { error: error.message }));
@@ -334,9 +339,9 @@
   #watchSuspect({ target, done }: RunningAttempt): void {
     const { poison, log } = this.context;
     poison.start(this.request, target);
-    target.suspects += 1;
+    target.suspectCalls += 1;
     const finish = () => {
-      target.suspects -= 1;
+      target.suspectCalls -= 1;
       poison.finish(this.request);
     };
     done
@@ -353,7 +358,7 @@
       case 'not-connected':
         this.#ledger.noteNotRun();
         this.#sendings -= 1;
-        target.noteFailure();
+        target.recordFailure();
         this.#log.tellFailure(attempt, outcome.kind, outcome.reason);
         if (this.#running.size === 0) this.#begin();
         return;
@@ -365,12 +370,12 @@
         return;
       case 'not-run':
         this.#ledger.noteNotRun();
-        target.noteFailure();
+        target.recordFailure();
         this.#log.tellFailure(attempt, outcome.kind, outcome.cause);
         this.#repeat('no-room');
         return;
       case 'lost':
-        target.noteFailure();
+        target.recordFailure();
         this.#log.tellFailure(attempt, outcome.kind, outcome.reason, {
           ended: outcome.isEnded,
           names: this.request.identity.fingerprints,
@@ -394,7 +399,7 @@
     const lost = { id, route, service, path, names: identity.fingerprints };
     const times = { startedAt, lostAt: clock.now() };
     if (isEnded) poison.noteEnd(lost, target, times);
-    else target.noteLoss(() => poison.noteEnd(lost, target, times));
+    else target.recordLoss(() => poison.noteEnd(lost, target, times));
   }
 
   #takeAnswer(attempt: RunningAttempt, answer: TargetAnswer): void {
@@ -403,7 +408,7 @@
     // A target that fails what it gets may have answered before it began.
     if (!isFailure && answer.rest === undefined) this.context.poison.noteAnswer(this.request);
     if (isFailure) {
-      target.noteFailure();
+      target.recordFailure();
       this.#log.tellFailure(attempt, 'failed', `status ${answer.status}`);
       if (this.#isRepeatable && this.#running.size > 0) return;
       if (this.#isRepeatable && this.#mayRepeat()) {
@@ -412,7 +417,7 @@
         return;
       }
     } else {
-      target.noteSuccess();
+      target.recordSuccess();
       this.#learnTime(attempt);
     }
     if (PROMISES.has(answer.status) || !answer.isSigned) {
@@ -430,7 +435,7 @@
     const { clock, routeTime } = this.context;
     const { service } = this.request;
     const now = clock.now();
-    const { belief, record, trail } = attempt.target;
+    const { load: belief, record, slowdownHistory: trail } = attempt.target;
     const pattern = service.readPattern();
     const slowdown = trail.estimate(attempt.startedAt, pattern);
     const time = now - attempt.startedAt;
@@ -446,7 +451,7 @@
     );
     const work = time / slowdown / factor;
     routeTime.recordWork(work, now);
-    service.noteTime(work);
+    service.recordWork(work);
   }
 
   /** Sends the request once more, after an attempt that brought nothing. */
@@ -466,7 +471,7 @@
     const { route, service, body } = this.request;
     if (this.#sendings >= route.maxAttempts) return false;
     if (body !== undefined && !Buffer.isBuffer(body)) return false;
-    return service.budget.spend();
+    return service.retryBudget.spend();
   }
 
   #lookLater(): void {
@@ -488,7 +493,7 @@
     if (this.#running.size !== 1 || attempt === undefined) return;
     if (this.#sendings >= route.maxAttempts || this.#care !== undefined) return;
     const now = clock.now();
-    const { trail } = attempt.target;
+    const { slowdownHistory: trail } = attempt.target;
     const pattern = service.readPattern();
     const work = routeTime.readWork();
     const first: FirstAttempt = {
@@ -496,14 +501,14 @@
       ...{ slowdown: trail.estimate(attempt.startedAt, pattern), slow: pattern.slow },
       spread: routeTime.readSpread(),
     };
-    if (isStuck(first)) attempt.target.noteStuck();
+    if (isStuck(first)) attempt.target.recordStuckCall();
     const times = { untilAim: aimAt - now, untilDeadline: deadline - now };
     const need = findSecondAttemptReason(first, times);
     if (need === 'none') return;
     // A second attempt takes a slot. While others wait for one it is worth it only if it frees one
     // that would be held for long.
     if (service.queue.size > 0 && need !== 'rescue') return;
-    const advice = service.choosePlace(
+    const advice = service.chooseTarget(
       { tried: this.#tried, work, bodyBytes, regions: route.regions },
       0,
     );
@@ -530,7 +535,7 @@
   /** When a caller may return whom the queue gave no time for that. */
   #chooseReturn(): number {
     const { service } = this.request;
-    const backoff = service.readBackoffLeft();
+    const backoff = service.readBackoffRemaining();
     if (backoff !== undefined) return backoff;
     const isRejected = this.#sendings > 0 && service.queue.size === 0;
     // Within the time of one call some target will have ended one.
--- a/src/gateway/requests/request-handler.ts
+++ b/src/gateway/requests/request-handler.ts
@@ -268,7 +268,7 @@
     const caller = request.socket.remoteAddress ?? '';
     return {
       ...{ id, route, arrivedAt, cameAt, aimAt, deadline, ...sent },
-      service: this.options.targets.find(admitted.service),
+      service: this.options.targets.getService(admitted.service),
       identity: new RequestIdentity({ ...sent, host, caller }),
       buildHeaders: (target, timeLeft) => buildTargetHeaders(passed, target, { timeLeft, length }),
     };
--- a/src/gateway/requests/request-log.ts
+++ b/src/gateway/requests/request-log.ts
@@ -76,7 +76,7 @@
         connect: Math.round(timing.connected),
       },
       ...{ head: Math.round(timing.head), held: Math.round(now - arrivedAt) },
-      ...{ slowdown: target.belief.lastSlowdown, calls: target.belief.countCalls(now, 1) },
+      ...{ slowdown: target.load.lastSlowdown, calls: target.load.countCalls(now, 1) },
     });
   }
 
@@ -102,10 +102,10 @@
       ...{
         took: Math.round(now - startedAt),
         connect: Math.round(timing.connected),
-        calls: target.belief.countCalls(now, 1),
+        calls: target.load.countCalls(now, 1),
       },
-      report_age: Math.round(now - target.belief.reportedAt),
-      slowdown: target.belief.lastSlowdown,
+      report_age: Math.round(now - target.load.reportedAt),
+      slowdown: target.load.lastSlowdown,
     });
   }
 
@@ -133,7 +133,7 @@
         waited: Math.round(times.waited),
       },
       ...{ held: Math.round(times.held), sendings: this.#sendings },
-      ...{ target: target.record.incarnation, calls: target.belief.countCalls(now, 1) },
+      ...{ target: target.record.incarnation, calls: target.load.countCalls(now, 1) },
     });
   }
 }
--- a/src/gateway/status.ts
+++ b/src/gateway/status.ts
@@ -59,12 +59,12 @@
     gauges[`store_calls{kind="${kind}"}`] = count;
   }
   for (const service of status.services) {
-    const { name, queue, budget, targets } = service;
+    const { name, queue, retryBudget: budget, targets } = service;
     gauges[`targets_limited{service="${name}"}`] = service.countLimited();
     gauges[`targets_draining{service="${name}"}`] = service.countDraining();
     gauges[`targets_backed_off{service="${name}"}`] = service.countBackedOff();
-    gauges[`limited_away{service="${name}"}`] = service.limitedAway;
-    gauges[`backed_off_away{service="${name}"}`] = service.backedOffAway;
+    gauges[`limited_away{service="${name}"}`] = service.rateLimitDiversions;
+    gauges[`backed_off_away{service="${name}"}`] = service.backoffDiversions;
     gauges[`waiting{service="${name}"}`] = queue.size;
     gauges[`targets{service="${name}"}`] = targets.size;
     gauges[`repeats_denied{service="${name}"}`] = budget.counts.denied;
--- a/src/gateway/targets/standing-book.ts
+++ b/src/gateway/targets/availability-cache.ts
@@ -11,7 +11,7 @@
 }
 
 /** The book of one daemon. */
-export class StandingBook {
+export class AvailabilityCache {
   /** Of targets that left, the one that left first to begin with. */
   readonly #kept = new Map<string, Availability>();
 
--- a/src/gateway/targets/connections.ts
+++ b/src/gateway/targets/connections.ts
@@ -15,9 +15,9 @@
   readonly agent: http.Agent;
   /** Whether an earlier call went over it. */
   isReused: boolean;
-  restsSince: number;
+  idleSince: number;
   /** How long the target keeps it at rest, in milliseconds. */
-  restLimit: number;
+  idleLimit: number;
 }
 
 /** What taking a connection gives. */
@@ -26,7 +26,7 @@
   | { readonly kind: 'not-connected'; readonly reason: string };
 
 /** Whether anybody listens at an address. */
-export type Presence = 'somebody' | 'nobody' | 'unknown';
+export type ListenState = 'somebody' | 'nobody' | 'unknown';
 
 /** How the system tells that nobody listens: a machine that is cut off or frozen tells nothing. */
 const REFUSED = 'ECONNREFUSED';
@@ -58,7 +58,7 @@
 
   #open = 0;
 
-  #asking: Promise<Presence> | undefined;
+  #asking: Promise<ListenState> | undefined;
 
   constructor(
     private readonly address: Address,
@@ -67,7 +67,7 @@
   ) {}
 
   /** Connections open now, at rest or in use. */
-  get open(): number {
+  get openCount(): number {
     return this.#open;
   }
 
@@ -79,7 +79,7 @@
   }
 
   /** Finds out by a new connection whether anybody listens; it is kept for the next call. */
-  async findPresence(): Promise<Presence> {
+  async checkListening(): Promise<ListenState> {
     this.#asking ??= this.#askPresence();
     try {
       return await this.#asking;
@@ -89,10 +89,10 @@
   }
 
   /** Closes connections that have rested too long. */
-  trim(): void {
+  closeExpired(): void {
     const now = this.clock.now();
     for (const connection of [...this.#resting]) {
-      if (now - connection.restsSince > connection.restLimit) connection.socket.destroy();
+      if (now - connection.idleSince > connection.idleLimit) connection.socket.destroy();
     }
   }
 
@@ -101,7 +101,7 @@
     for (const connection of [...this.#resting]) connection.socket.destroy();
   }
 
-  async #askPresence(): Promise<Presence> {
+  async #askPresence(): Promise<ListenState> {
     const asked = await this.#connect();
     if (asked.kind === 'not-connected') return asked.reason === REFUSED ? 'nobody' : 'unknown';
     asked.connection.socket.emit('free');
@@ -113,8 +113,8 @@
     for (;;) {
       const connection = this.#resting.pop();
       if (connection === undefined) return undefined;
-      const rest = now - connection.restsSince;
-      if (!connection.socket.writable || rest > connection.restLimit) {
+      const rest = now - connection.idleSince;
+      if (!connection.socket.writable || rest > connection.idleLimit) {
         connection.socket.destroy();
         continue;
       }
@@ -150,7 +150,7 @@
         this.onOpened();
         const agent = new SocketAgent(socket);
         const connection: TargetConnection = {
-          ...{ socket, agent, isReused: false, restsSince: 0, restLimit: REST_LIMIT },
+          ...{ socket, agent, isReused: false, idleSince: 0, idleLimit: REST_LIMIT },
         };
         socket.on('free', () => this.#rest(connection));
         socket.once('close', () => this.#drop(connection));
@@ -167,7 +167,7 @@
       socket.destroy();
       return;
     }
-    connection.restsSince = this.clock.now();
+    connection.idleSince = this.clock.now();
     socket.on('data', () => socket.destroy());
     this.#resting.push(connection);
   }
@@ -179,7 +179,7 @@
 }
 
 /** Reads from an answer's headers for how long its connection may rest. */
-export function readRestLimit(keepAlive: string | undefined): number {
+export function parseIdleLimit(keepAlive: string | undefined): number {
   const seconds = /timeout=(\d+)/.exec(keepAlive ?? '')?.[1];
   if (seconds === undefined) return REST_LIMIT;
   return Math.max(0, Number(seconds) * 1000 - REST_MARGIN);
--- a/src/gateway/targets/draining-news.ts
+++ b/src/gateway/targets/draining-reporter.ts
@@ -14,7 +14,7 @@
 const MOST_TARGETS = 100;
 
 /** Chooses what one daemon tells: what targets said to it, as the others tell what was said to them. */
-export class DrainingNews {
+export class DrainingReporter {
   readonly #toldAt = new WeakMap<GatewayTarget, number>();
 
   constructor(
@@ -26,9 +26,9 @@
   take(): readonly DrainingReport[] {
     const now = this.clock.now();
     const due: DrainingReport[] = [];
-    for (const service of this.targets.list()) {
+    for (const service of this.targets.listServices()) {
       for (const target of service.targets.values()) {
-        const { draining } = target.standing;
+        const { draining } = target.availability;
         if (draining === undefined || !draining.isDirect || due.length === MOST_TARGETS) continue;
         const age = now - draining.at;
         const repeat = Math.max(FIRST_REPEAT, age * REPEAT_PART);
--- a/src/gateway/targets/load-sharing.ts
+++ b/src/gateway/targets/load-exchange.ts
@@ -7,12 +7,12 @@
  */
 import type { Clock } from '../../kernel/index.js';
 import type { DrainingReport, TargetLoadReport } from '../../peering/index.js';
-import { DrainingNews } from './draining-news.js';
+import { DrainingReporter } from './draining-reporter.js';
 import type { GatewayTarget } from './target.js';
 import type { TargetSet } from './target-set.js';
 
 /** What the sharing is made from. */
-export interface LoadSharingOptions {
+export interface LoadExchangeOptions {
   readonly clock: Clock;
   readonly targets: TargetSet;
   readonly self: string;
@@ -63,7 +63,7 @@
 }
 
 /** Tells and hears the shares of one daemon. */
-export class LoadSharing {
+export class LoadExchange {
   readonly #told = new Map<GatewayTarget, ToldShare>();
 
   /** When each daemon last told something. */
@@ -77,10 +77,10 @@
   /** When this home last told the others anything. */
   #homesToldAt = -Infinity;
 
-  readonly #draining: DrainingNews;
+  readonly #draining: DrainingReporter;
 
-  constructor(private readonly options: LoadSharingOptions) {
-    this.#draining = new DrainingNews(options.targets, options.clock);
+  constructor(private readonly options: LoadExchangeOptions) {
+    this.#draining = new DrainingReporter(options.targets, options.clock);
   }
 
   /** Tells until the signal aborts. */
@@ -93,23 +93,23 @@
   }
 
   /** Takes what another daemon told. */
-  hear(from: string, shares: readonly TargetLoadReport[]): void {
+  receive(from: string, shares: readonly TargetLoadReport[]): void {
     const { targets, clock } = this.options;
     this.#heardAt.set(from, clock.now());
     // Calls that wait are looked at every few milliseconds anyway; serving them at every word of another
     // daemon took more of a home's processor than its calls did.
-    for (const share of shares) targets.findByHash(share.target)?.noteShare(from, share);
+    for (const share of shares) targets.findByHash(share.target)?.receivePeerLoad(from, share);
   }
 
   /** Takes it that targets drain, as they told another daemon. */
-  takeDraining(from: string, drained: readonly DrainingReport[]): void {
+  receiveDraining(from: string, drained: readonly DrainingReport[]): void {
     for (const { target, age } of drained) {
-      this.options.targets.findByHash(target)?.noteDrainingTold(from, age);
+      this.options.targets.findByHash(target)?.receivePeerDraining(from, age);
     }
   }
 
   /** How many of the other homes have told of their calls of late. */
-  countTellers(): number {
+  countReportingHomes(): number {
     const { clock, listHomes } = this.options;
     const now = clock.now();
     return listHomes().filter((ip) => now - (this.#heardAt.get(ip) ?? -Infinity) < TELLER_LIFE)
@@ -178,7 +178,7 @@
   #listNews(): readonly TargetLoadReport[] {
     const now = this.options.clock.now();
     const shares: TargetLoadReport[] = [];
-    for (const service of this.options.targets.list()) {
+    for (const service of this.options.targets.listServices()) {
       for (const target of service.targets.values()) {
         const share = this.#describeNews(target, now);
         if (share !== undefined) shares.push(share);
@@ -188,13 +188,13 @@
   }
 
   #describeNews(target: GatewayTarget, now: number): TargetLoadReport | undefined {
-    const { belief } = target;
+    const { load: belief } = target;
     const { inFlight } = belief;
     const told = this.#told.get(target);
     // Only what this home heard from the target itself; what another home told, that one tells.
     const isHeard = belief.reportedAt === belief.slowdownAt;
     // Told again and again, as whoever has just become a home has to keep to it as well.
-    const named = target.named.readAnnouncement(now);
+    const named = target.advertisedRate.readAnnouncement(now);
     // Of hundreds of targets most have no calls from here and were last heard by another home.
     const hasWord =
       inFlight > 0 || named !== undefined || (isHeard && now - belief.slowdownAt < REPEAT);
--- a/src/gateway/targets/own-rates.ts
+++ b/src/gateway/targets/local-rate-limits.ts
@@ -9,15 +9,15 @@
 import type { GatewayTarget } from './target.js';
 
 /** What is known of the cold targets of a service. */
-export interface Coldness extends ColdLimits {
+export interface ColdStartLimits extends ColdLimits {
   /** For how long a target is cold, in milliseconds. */
-  readonly time: number;
+  readonly duration: number;
 }
 
 /** What the rates follow from. */
-export interface OwnRatesOptions {
+export interface LocalRateLimitsOptions {
   readonly clock: Clock;
-  readonly readColdness: () => Coldness;
+  readonly readColdStartLimits: () => ColdStartLimits;
   /** What this daemon stands for in the fleet. */
   readonly readShare: () => FleetShare;
 }
@@ -26,7 +26,7 @@
 const PACE = 100;
 
 /** The rates of the targets of one service. */
-export class OwnRates {
+export class LocalRateLimits {
   #share: FleetShare = { part: 0, homes: [], self: '' };
 
   #shareAt = -Infinity;
@@ -34,25 +34,25 @@
   /** Those worked out since the share was. */
   readonly #rates = new Map<GatewayTarget, number>();
 
-  constructor(private readonly options: OwnRatesOptions) {}
+  constructor(private readonly options: LocalRateLimitsOptions) {}
 
   /** Whether a target has had what it takes from here. */
-  isSpent(target: GatewayTarget): boolean {
+  isExhausted(target: GatewayTarget): boolean {
     const rate = this.read(target);
-    return rate < Infinity && !target.bucket.maySend(this.options.clock.now(), rate);
+    return rate < Infinity && !target.rateBucket.maySend(this.options.clock.now(), rate);
   }
 
   /** Calls a second that a target may get from here; Infinity where nothing limits it. */
   read(target: GatewayTarget): number {
     const now = this.options.clock.now();
-    const named = target.named.read(now);
+    const named = target.advertisedRate.read(now);
     const isCold = target.warmth.isCold(now);
-    const risen = target.standing.readRampRate(now);
+    const risen = target.availability.readRampRate(now);
     if (named === undefined && risen === undefined && !isCold) return Infinity;
     const share = this.#readShare(now);
     const known = this.#rates.get(target);
     if (known !== undefined) return known;
-    const cold = isCold ? computeColdRate(this.options.readColdness()) : undefined;
+    const cold = isCold ? computeColdRate(this.options.readColdStartLimits()) : undefined;
     let least = risen ?? Infinity;
     for (const shared of [named, cold]) {
       if (shared === undefined) continue;
--- a/src/gateway/targets/prober.ts
+++ b/src/gateway/targets/prober.ts
@@ -25,10 +25,10 @@
   readonly interval: number;
   readonly self: string;
   /** The part of its time in which this daemon was at work of late, from 0 to 1. */
-  readonly readBusy: () => number;
+  readonly readUtilisation: () => number;
   readonly listHomes: () => readonly ProbingHome[];
   /** Probes that the whole fleet may send to each target a second. */
-  readonly readLimit: () => number;
+  readonly readProbeLimit: () => number;
   /** How many daemons are known, and how many of them look to this one. */
   readonly countDaemons: () => { readonly members: number; readonly present: number };
 }
@@ -129,7 +129,7 @@
  * Returns the home that probes a target: of those in its failure domain, or of all where none is, the one
  * of the highest hash. What it hears it tells the others, in a twentieth of the bytes of a probe.
  */
-export function findProber(
+export function chooseProbingHome(
   target: Pick<GatewayTarget, 'hash' | 'record'>,
   homes: readonly ProbingHome[],
 ): string | undefined {
@@ -162,7 +162,7 @@
     for (let turn = 0; !signal.aborted; turn += 1) {
       this.#probeBatch(turn % BATCHES);
       const homes = this.options.listHomes();
-      const inUse = targets.list().filter((service) => this.#isInUse(service, homes));
+      const inUse = targets.listServices().filter((service) => this.#isInUse(service, homes));
       const pace = Math.min(interval, ...inUse.map((service) => this.#readInterval(service)));
       await clock.sleep(inUse.length === 0 ? IDLE_PACE : pace / BATCHES, signal);
     }
@@ -176,13 +176,13 @@
   #readInterval(service: TargetService): number {
     const { interval } = this.options;
     const { life } = service.readPattern();
-    const wanted = Math.min(interval, service.readTime(interval) * REPORT_AGE, life * LIFE_PART);
+    const wanted = Math.min(interval, service.readWork(interval) * REPORT_AGE, life * LIFE_PART);
     return Math.max(LEAST_INTERVAL, this.#isHurried(service) ? wanted / 2 : wanted);
   }
 
   #isHurried(service: TargetService): boolean {
-    if (this.options.readBusy() >= HIGH_UTILISATION) return false;
-    return this.options.clock.now() - service.queue.waitedAt < HURRY_TIME;
+    if (this.options.readUtilisation() >= HIGH_UTILISATION) return false;
+    return this.options.clock.now() - service.queue.lastWaitAt < HURRY_TIME;
   }
 
   #probeBatch(batch: number): void {
@@ -190,7 +190,7 @@
     const table = readTable();
     if (table === undefined) return;
     const homes = this.options.listHomes();
-    for (const service of targets.list()) {
+    for (const service of targets.listServices()) {
       const { healthPath: path = '', coldRate = Infinity } = table.findService(service.name) ?? {};
       if (path === '' || !this.#isInUse(service, homes)) continue;
       const plan = { ...this.#planProbes(service, homes), asksWarmth: coldRate < Infinity };
@@ -215,10 +215,10 @@
     service: TargetService,
     homes: readonly ProbingHome[],
   ): Omit<ProbePlan, 'asksWarmth'> {
-    const { countDaemons, readLimit } = this.options;
+    const { countDaemons, readProbeLimit: readLimit } = this.options;
     const isHome = this.#isHome(homes);
     const least = computeProbeInterval({ limit: readLimit(), ...countDaemons(), isHome });
-    const calls = service.rate.read(this.options.clock.now());
+    const calls = service.callRate.read(this.options.clock.now());
     const wantedProbes = Math.max(isHome ? LEAST_PROBES : 0, PROBES_PER_CALL * calls);
     const worth = Math.max(1, wantedProbes * this.#measureLeisure());
     // At this interval a home's part of the targets takes no more probes than that.
@@ -234,7 +234,7 @@
    * fewer the less it leaves. Calls that wait for it lose more than a staler report costs them.
    */
   #measureLeisure(): number {
-    return Math.min(1, (1 - this.options.readBusy()) / (1 - LEISURE_UP_TO));
+    return Math.min(1, (1 - this.options.readUtilisation()) / (1 - LEISURE_UP_TO));
   }
 
   /**
@@ -260,7 +260,7 @@
   #isInUse(service: TargetService, homes: readonly ProbingHome[]): boolean {
     const now = this.options.clock.now();
     if (this.#isHome(homes)) return now - service.lastCallAt < IN_USE;
-    return service.rate.read(now) >= LEAST_RATE;
+    return service.callRate.read(now) >= LEAST_RATE;
   }
 
   /**
@@ -270,19 +270,19 @@
   #isDue(target: GatewayTarget, plan: ProbePlan): boolean {
     const { homes, isHome, least } = plan;
     const now = this.options.clock.now();
-    const floor = target.named.isLimited ? LIMITED_INTERVAL : 0;
+    const floor = target.advertisedRate.isLimited ? LIMITED_INTERVAL : 0;
     const rest = Math.max(floor, plan.rest);
     const interval = Math.max(floor, plan.interval);
     // A target that does not answer is due again no sooner than the others.
-    if (now - target.probedAt < Math.max(least, rest)) return false;
+    if (now - target.lastProbeAt < Math.max(least, rest)) return false;
     if (plan.asksWarmth && this.#mayHaveTurnedCold(target)) return true;
-    const age = now - target.belief.slowdownAt;
+    const age = now - target.load.slowdownAt;
     if (age < rest) return false;
-    const isMine = isHome && findProber(target, homes) === this.options.self;
+    const isMine = isHome && chooseProbingHome(target, homes) === this.options.self;
     return isMine || age >= interval * STAND_IN_FACTOR;
   }
 
-  #mayHaveTurnedCold({ sent, warmth }: GatewayTarget): boolean {
+  #mayHaveTurnedCold({ recentSends: sent, warmth }: GatewayTarget): boolean {
     const now = this.options.clock.now();
     return sent.count(now) >= BUSY_CALLS && now - warmth.reportedAt >= WARMTH_AGE;
   }
@@ -291,11 +291,11 @@
     const { clock } = this.options;
     const startedAt = clock.now();
     this.#probing.add(target);
-    target.probedAt = startedAt;
+    target.lastProbeAt = startedAt;
     try {
       const taken = await target.connections.take(Infinity);
       if (taken.kind === 'not-connected') {
-        target.noteHealth(false);
+        target.recordHealth(false);
         return;
       }
       if (!target.isUsable) {
@@ -303,15 +303,15 @@
         return;
       }
       this.sent += 1;
-      const own = target.belief.countArrived(startedAt);
+      const own = target.load.countArrived(startedAt);
       const answer = await this.#ask(taken.connection, path);
-      target.noteHealth(answer?.statusCode === HEALTHY);
+      target.recordHealth(answer?.statusCode === HEALTHY);
       if (answer === undefined) return;
       const report = decodeSelfReport(answer.statusCode, answer.headers);
-      target.takeReport(report, { askedAt: startedAt, own, isGood: false });
+      target.receiveReport(report, { sentAt: startedAt, ownCalls: own, isSuccess: false });
       const { load } = report;
       if (load !== undefined && !target.isMisdirected) {
-        service.memory.record(load.slowdown, clock.now());
+        service.slowdownModel.record(load.slowdown, clock.now());
       }
     } finally {
       this.#probing.delete(target);
--- a/src/gateway/targets/slot-queue.ts
+++ b/src/gateway/targets/slot-queue.ts
@@ -9,7 +9,7 @@
 import type { GatewayTarget } from './target.js';
 
 /** What a call asks of its place. */
-export interface PlaceWish {
+export interface PlacementRequest {
   /** Targets that it has been sent to already. */
   readonly tried: ReadonlySet<GatewayTarget>;
   /** How long the call takes at a usual, idle target, in milliseconds. */
@@ -19,30 +19,30 @@
   /** The regions in which it may run; undefined where it may run anywhere. */
   readonly regions?: readonly string[];
   /** How carefully it has to be placed, because a target has ended under it; undefined when none has. */
-  readonly care?: PlaceCare;
+  readonly suspect?: SuspectConstraints;
 }
 
 /** What a suspect asks of its place. */
-export interface PlaceCare {
+export interface SuspectConstraints {
   /** Releases of targets that it is not sent to. */
   readonly avoidedReleases: readonly string[];
 }
 
 /** A call that asks for a target. */
-export interface SlotCall extends PlaceWish, QueuedCall {}
+export interface SlotCall extends PlacementRequest, QueuedCall {}
 
 /** What came of asking. */
-export type SlotAnswer =
+export type PlacementResult =
   /** The call is counted there already; whoever does not send it gives the slot back. */
   | { readonly kind: 'target'; readonly target: GatewayTarget }
   /** `wait` is the time after which the caller may return, in milliseconds. */
-  | { readonly kind: 'refused'; readonly reason: Refusal; readonly wait: number };
+  | { readonly kind: 'refused'; readonly reason: PlacementRefusal; readonly wait: number };
 
 /** Why no target is found: none is there, none has a slot in time, or those that have one take no more for now. */
-export type Refusal = 'no-target' | 'no-room' | LimitReason;
+export type PlacementRefusal = 'no-target' | 'no-room' | LimitReason;
 
 /** What a queue asks for each call in turn. */
-export type SlotAdviser = (
+export type TargetChooser = (
   call: SlotCall,
   ahead: number,
 ) =>
@@ -71,7 +71,7 @@
 export class SlotQueue {
   readonly #line: WaitQueue<SlotCall>;
 
-  readonly #resolvers = new Map<SlotCall, (answer: SlotAnswer) => void>();
+  readonly #resolvers = new Map<SlotCall, (answer: PlacementResult) => void>();
 
   #timer: Timer | undefined;
 
@@ -79,12 +79,12 @@
   #limit: LimitReason | undefined;
 
   /** When a call last had to wait. */
-  waitedAt = -Infinity;
+  lastWaitAt = -Infinity;
 
   constructor(
     private readonly clock: Clock,
     random: Random,
-    private readonly adviser: SlotAdviser,
+    private readonly adviser: TargetChooser,
   ) {
     this.#line = new WaitQueue(clock, random);
   }
@@ -95,7 +95,7 @@
   }
 
   /** Gives a target at once, or makes the call wait, or refuses it. */
-  take(call: SlotCall): SlotAnswer | Promise<SlotAnswer> {
+  take(call: SlotCall): PlacementResult | Promise<PlacementResult> {
     this.#line.recordArrival(call);
     const ahead = this.#line.countAhead(call);
     const advice = this.adviser(call, ahead);
@@ -115,7 +115,7 @@
   }
 
   /** Takes back a call that waits: its caller left, or its time is over. */
-  leave(call: SlotCall): void {
+  remove(call: SlotCall): void {
     this.#line.remove(call);
     this.#resolvers.delete(call);
   }
@@ -137,15 +137,15 @@
 
   #noteWait(
     { work }: SlotCall,
-    { pace, slowdown, limit, opensIn }: Extract<ReturnType<SlotAdviser>, { kind: 'wait' }>,
+    { pace, slowdown, limit, opensIn }: Extract<ReturnType<TargetChooser>, { kind: 'wait' }>,
   ): void {
     this.#limit = limit;
     this.#line.updatePace(pace * work, slowdown, opensIn);
   }
 
-  #answer(call: SlotCall, answer: SlotAnswer): void {
+  #answer(call: SlotCall, answer: PlacementResult): void {
     const resolve = this.#resolvers.get(call);
-    this.leave(call);
+    this.remove(call);
     resolve?.(answer);
   }
 
@@ -156,17 +156,17 @@
     }
   }
 
-  #refuse(wait: number): SlotAnswer {
+  #refuse(wait: number): PlacementResult {
     const reason = this.#limit ?? 'no-room';
     return { kind: 'refused', reason, wait: this.#line.chooseRetryDelay(wait) };
   }
 
-  #refuseNone(wait: number | undefined): SlotAnswer {
+  #refuseNone(wait: number | undefined): PlacementResult {
     if (wait === undefined) return { kind: 'refused', reason: 'no-target', wait: NO_TARGET_RETURN };
     return { kind: 'refused', reason: 'backoff', wait: this.#line.chooseRetryDelay(wait) };
   }
 
-  #follow(call: SlotCall, admission: Admission): SlotAnswer | undefined {
+  #follow(call: SlotCall, admission: Admission): PlacementResult | undefined {
     if (admission.kind !== 'refuse' || !call.isWorkKnown) return undefined;
     // A slot may free sooner than expected, so a repeat waits on for one; what targets take is known.
     if (!call.mayBeRefused && this.#limit === undefined) return undefined;
@@ -180,8 +180,8 @@
    */
   #start(
     call: SlotCall,
-    { candidate, load }: Extract<ReturnType<SlotAdviser>, { kind: 'now' }>,
-  ): SlotAnswer {
+    { candidate, load }: Extract<ReturnType<TargetChooser>, { kind: 'now' }>,
+  ): PlacementResult {
     const now = this.clock.now();
     const duration = call.work * load.slowdown * call.spread;
     if (call.mayBeRefused && call.isWorkKnown && now + duration > call.deadline) {
@@ -192,8 +192,8 @@
     return { kind: 'target', target: candidate };
   }
 
-  #wait(call: SlotCall, isSure: boolean): Promise<SlotAnswer> {
-    this.waitedAt = this.clock.now();
+  #wait(call: SlotCall, isSure: boolean): Promise<PlacementResult> {
+    this.lastWaitAt = this.clock.now();
     return new Promise((resolve) => {
       this.#line.add(call, isSure);
       this.#resolvers.set(call, resolve);
--- a/src/gateway/targets/target-news.ts
+++ b/src/gateway/targets/target-events.ts
@@ -4,7 +4,7 @@
 import type { TargetService } from './target-service.js';
 
 /** What has changed of the rate that a target names. */
-export interface RateNews {
+export interface RateChangeEvent {
   /** Requests a second before and now; undefined where none is named. */
   readonly before: number | undefined;
   readonly rate: number | undefined;
@@ -15,34 +15,34 @@
 }
 
 /** A header of a target's answer that could not be read. */
-export interface UnreadableStatement {
+export interface UnreadableHeader {
   readonly field: 'rate' | 'draining' | 'backoff';
   readonly what: string;
 }
 
 /** What is told when a target says something new of itself. */
 export interface TargetListener {
-  onRate(target: GatewayTarget, news: RateNews): void;
+  onRateChange(target: GatewayTarget, news: RateChangeEvent): void;
   /** The target drains. @param from the IP number of the daemon that told of it, or `target` */
   onDraining(target: GatewayTarget, from: string, age: number): void;
   /** The target wants nothing from this daemon for a time, in milliseconds. */
   onBackoff(target: GatewayTarget, time: number): void;
-  onBackoffOver(target: GatewayTarget): void;
-  onUnreadable(target: GatewayTarget, statement: UnreadableStatement): void;
+  onBackoffEnd(target: GatewayTarget): void;
+  onUnreadableHeader(target: GatewayTarget, statement: UnreadableHeader): void;
   /** No target of the service takes calls any more. */
-  onDeserted(service: TargetService): void;
+  onServiceUnavailable(service: TargetService): void;
   /** Some targets of the service take calls again. */
-  onServed(service: TargetService, usable: number): void;
+  onServiceAvailable(service: TargetService, usable: number): void;
 }
 
-const EXPECTED: Readonly<Record<UnreadableStatement['field'], string>> = {
+const EXPECTED: Readonly<Record<UnreadableHeader['field'], string>> = {
   rate: 'a decimal number',
   draining: '1',
   backoff: 'a decimal number of seconds',
 };
 
 /** Tells of targets in lines, and counts. */
-export class TargetNews implements TargetListener {
+export class TargetEventLog implements TargetListener {
   /** @param readOwnRate what a target may get from here now */
   constructor(
     private readonly log: Log,
@@ -50,7 +50,7 @@
     private readonly readOwnRate: (target: GatewayTarget) => number,
   ) {}
 
-  onRate(target: GatewayTarget, { before, rate, age, from }: RateNews): void {
+  onRateChange(target: GatewayTarget, { before, rate, age, from }: RateChangeEvent): void {
     const { incarnation, service } = target.record;
     const own = this.readOwnRate(target);
     this.log.info('target.limited', {
@@ -73,23 +73,23 @@
     this.metrics.count('target_backoff', { service });
   }
 
-  onBackoffOver({ record }: GatewayTarget): void {
+  onBackoffEnd({ record }: GatewayTarget): void {
     const { incarnation, service } = record;
     this.log.info('target.resumed', { target: incarnation, service });
   }
 
-  onDeserted(service: TargetService): void {
+  onServiceUnavailable(service: TargetService): void {
     this.log.warn('service.deserted', {
       ...{ service: service.name, targets: service.targets.size },
       ...{ draining: service.countDraining(), backed_off: service.countBackedOff() },
     });
   }
 
-  onServed({ name, targets }: TargetService, usable: number): void {
+  onServiceAvailable({ name, targets }: TargetService, usable: number): void {
     this.log.info('service.served', { service: name, targets: targets.size, usable });
   }
 
-  onUnreadable({ record }: GatewayTarget, { field, what }: UnreadableStatement): void {
+  onUnreadableHeader({ record }: GatewayTarget, { field, what }: UnreadableHeader): void {
     const { incarnation, service } = record;
     this.log.warn(`${field}.unreadable`, {
       ...{ target: incarnation, what, expected: EXPECTED[field] },
--- a/src/gateway/targets/target-service.ts
+++ b/src/gateway/targets/target-service.ts
@@ -15,8 +15,8 @@
   drawCandidates,
 } from '../../balance/index.js';
 import type { LearnedServiceState } from '../learned-state.js';
-import { type Coldness, OwnRates } from './own-rates.js';
-import { type PlaceWish, SlotQueue } from './slot-queue.js';
+import { type ColdStartLimits, LocalRateLimits } from './local-rate-limits.js';
+import { type PlacementRequest, SlotQueue } from './slot-queue.js';
 import { type GatewayTarget, readRelease } from './target.js';
 
 const SECOND = 1000;
@@ -31,13 +31,13 @@
   /** Daemons that share the targets. */
   readonly countHomes: () => number;
   /** Those of the others that have told of their calls of late. */
-  readonly countTellers: () => number;
+  readonly countReportingHomes: () => number;
   /** What cold targets of a service bear, and for how long one is cold. */
-  readonly readColdness: (service: string) => Coldness;
+  readonly readColdStartLimits: (service: string) => ColdStartLimits;
   /** What this daemon stands for in the fleet, where all keep to a rate together. */
   readonly readShare: () => FleetShare;
   /** Makes the budget for repeats of one service. */
-  readonly createBudget: () => WindowBudget;
+  readonly createRetryBudget: () => WindowBudget;
 }
 
 /** How this daemon's calls compare with all is followed for a few calls' time. */
@@ -59,11 +59,11 @@
 export class TargetService {
   readonly targets = new Map<string, GatewayTarget>();
 
-  readonly rate: RateMeter;
+  readonly callRate: RateMeter;
 
   lastCallAt = -Infinity;
 
-  readonly budget: WindowBudget;
+  readonly retryBudget: WindowBudget;
 
   /** Calls that wait for a target. */
   readonly queue: SlotQueue;
@@ -71,10 +71,10 @@
   readonly knee = new KneeEstimate();
 
   /** What its targets may get from here. */
-  readonly rates: OwnRates;
+  readonly rateLimits: LocalRateLimits;
 
   /** What the targets' reports have taught of how slow they are. */
-  readonly memory = new SlowdownModel();
+  readonly slowdownModel = new SlowdownModel();
 
   readonly #time = new DecayingMean(TIME_HALF_LIFE);
 
@@ -85,58 +85,58 @@
   #pool: CandidatePool<GatewayTarget> | undefined;
 
   /** Calls that went elsewhere because a target had had what it takes. */
-  limitedAway = 0;
+  rateLimitDiversions = 0;
 
   /** Calls that went elsewhere because a target wants nothing from this daemon for a time. */
-  backedOffAway = 0;
+  backoffDiversions = 0;
 
   constructor(
     readonly name: string,
     private readonly options: TargetServiceOptions,
   ) {
-    this.rate = new RateMeter(options.clock.now());
-    this.budget = options.createBudget();
-    this.rates = new OwnRates({
+    this.callRate = new RateMeter(options.clock.now());
+    this.retryBudget = options.createRetryBudget();
+    this.rateLimits = new LocalRateLimits({
       ...{ clock: options.clock, readShare: options.readShare },
-      readColdness: () => options.readColdness(name),
+      readColdStartLimits: () => options.readColdStartLimits(name),
     });
     this.queue = new SlotQueue(options.clock, options.random, (call, ahead) =>
-      this.choosePlace(call, ahead),
+      this.chooseTarget(call, ahead),
     );
   }
 
   /** Counts a call that arrives. */
-  noteCall(): void {
+  recordCall(): void {
     this.lastCallAt = this.options.clock.now();
-    this.rate.add(this.lastCallAt);
-    this.budget.recordRequest();
+    this.callRate.add(this.lastCallAt);
+    this.retryBudget.recordRequest();
   }
 
   /** How slow the service's targets are, and for how long one stays so. */
   readPattern(): SlowdownParameters {
-    return this.memory.read(this.options.clock.now());
+    return this.slowdownModel.read(this.options.clock.now());
   }
 
   /** How long calls take at a usual, idle target, in milliseconds; `fallback` before the first one. */
-  readTime(fallback: number): number {
+  readWork(fallback: number): number {
     return this.#time.read(fallback);
   }
 
   /** What others may start from; undefined before enough was seen here. */
-  readLesson(): LearnedServiceState | undefined {
-    if (!this.memory.hasEnoughSamples) return undefined;
+  readLearnedState(): LearnedServiceState | undefined {
+    if (!this.slowdownModel.hasEnoughSamples) return undefined;
     return { ...this.readPattern(), knee: this.knee.readFactor() };
   }
 
   /** Takes what others have learnt, until enough was seen here. */
-  absorb(lesson: LearnedServiceState): void {
-    this.memory.setPrior(lesson);
+  restoreLearnedState(lesson: LearnedServiceState): void {
+    this.slowdownModel.setPrior(lesson);
     this.knee.setPrior(lesson.knee);
   }
 
   /** Counts the targets that take no more than a rate that they name. */
   countLimited(): number {
-    return this.#countTargets(({ named }) => named.isLimited);
+    return this.#countTargets(({ advertisedRate: named }) => named.isLimited);
   }
 
   /** Counts the targets that new calls may go to. */
@@ -146,13 +146,13 @@
 
   /** Counts the targets that have said that they drain. */
   countDraining(): number {
-    return this.#countTargets(({ standing }) => standing.draining !== undefined);
+    return this.#countTargets(({ availability: standing }) => standing.draining !== undefined);
   }
 
   /** Counts the targets that want nothing from this daemon now. */
   countBackedOff(): number {
     const now = this.options.clock.now();
-    return this.#countTargets(({ standing }) => standing.isBackedOff(now));
+    return this.#countTargets(({ availability: standing }) => standing.isBackedOff(now));
   }
 
   #countTargets(isCounted: (target: GatewayTarget) => boolean): number {
@@ -162,7 +162,7 @@
   }
 
   /** Learns from one call how long calls take at a usual target. */
-  noteTime(time: number): void {
+  recordWork(time: number): void {
     this.#time.add(time, this.options.clock.now());
   }
 
@@ -188,8 +188,8 @@
    *
    * @param ahead calls that go first
    */
-  choosePlace(wish: PlaceWish, ahead: number): TargetChoice<GatewayTarget> {
-    const { care } = wish;
+  chooseTarget(wish: PlacementRequest, ahead: number): TargetChoice<GatewayTarget> {
+    const { suspect: care } = wish;
     let isLimited = false;
     let isBackedOff = false;
     const mayTake = (target: GatewayTarget) => {
@@ -197,20 +197,20 @@
         isBackedOff ||= target.isBackedOff;
         return false;
       }
-      const isSpent = this.rates.isSpent(target);
+      const isSpent = this.rateLimits.isExhausted(target);
       isLimited ||= isSpent;
       return !isSpent;
     };
     if (care === undefined) {
       const advice = this.#chooseAmong(mayTake, wish, ahead);
-      if (isLimited && advice.kind === 'now') this.limitedAway += 1;
-      if (isBackedOff && advice.kind === 'now') this.backedOffAway += 1;
+      if (isLimited && advice.kind === 'now') this.rateLimitDiversions += 1;
+      if (isBackedOff && advice.kind === 'now') this.backoffDiversions += 1;
       return advice.kind === 'none' ? this.#adviseLimited(wish) : advice;
     }
     const now = this.options.clock.wall();
     const isAllowed = (target: GatewayTarget) =>
       mayTake(target) && !care.avoidedReleases.includes(readRelease(target.record));
-    const isApart = (target: GatewayTarget) => isAllowed(target) && target.suspects === 0;
+    const isApart = (target: GatewayTarget) => isAllowed(target) && target.suspectCalls === 0;
     const isSteady = (target: GatewayTarget) =>
       isApart(target) && now - target.record.born > STEADY_AGE;
     for (const isFit of [isSteady, isApart]) {
@@ -219,11 +219,11 @@
       if (advice.kind === 'now') return advice;
     }
     const advice = this.#chooseAmong(isAllowed, wish, ahead);
-    return advice.kind === 'none' ? { kind: 'none', wait: this.readBackoffLeft() } : advice;
+    return advice.kind === 'none' ? { kind: 'none', wait: this.readBackoffRemaining() } : advice;
   }
 
   /** Whether a call may go to a target that has room. */
-  #isOpenTo(target: GatewayTarget, { tried, regions }: PlaceWish): boolean {
+  #isOpenTo(target: GatewayTarget, { tried, regions }: PlacementRequest): boolean {
     if (!target.isUsable || tried.has(target)) return false;
     return regions === undefined || this.#isWithin(target, regions);
   }
@@ -234,17 +234,17 @@
   }
 
   /** Advises a call where all that is left has had what it takes: to wait for more of that, if some falls to us. */
-  #adviseLimited(wish: PlaceWish): TargetChoice<GatewayTarget> {
+  #adviseLimited(wish: PlacementRequest): TargetChoice<GatewayTarget> {
     let rate = 0;
     for (const target of this.targets.values()) {
-      if (this.#isOpenTo(target, wish)) rate += this.rates.read(target);
+      if (this.#isOpenTo(target, wish)) rate += this.rateLimits.read(target);
     }
     if (rate === 0) return this.#adviseBackoff(wish);
     return { kind: 'wait', pace: SECOND / rate / wish.work, slowdown: 1, limit: 'rate-limit' };
   }
 
   /** Advises a call where every target that it could go to wants nothing for a time. */
-  #adviseBackoff({ tried, regions }: PlaceWish): TargetChoice<GatewayTarget> {
+  #adviseBackoff({ tried, regions }: PlacementRequest): TargetChoice<GatewayTarget> {
     const now = this.options.clock.now();
     let slots = 0;
     let opensAt = Infinity;
@@ -252,37 +252,42 @@
       if (!target.isBackedOff || tried.has(target)) continue;
       if (regions !== undefined && !this.#isWithin(target, regions)) continue;
       slots += target.record.slots;
-      opensAt = Math.min(opensAt, target.standing.backoffUntil);
+      opensAt = Math.min(opensAt, target.availability.backoffUntil);
     }
-    if (slots === 0) return { kind: 'none', wait: this.readBackoffLeft() };
+    if (slots === 0) return { kind: 'none', wait: this.readBackoffRemaining() };
     const opensIn = Math.max(0, opensAt - now);
     return { kind: 'wait', pace: 1 / slots, slowdown: 1, limit: 'backoff', opensIn };
   }
 
   /** Time until the first target takes calls again; undefined where one does, or none has asked for a back-off. */
-  readBackoffLeft(): number | undefined {
+  readBackoffRemaining(): number | undefined {
     const now = this.options.clock.now();
     let left: number | undefined;
     for (const target of this.targets.values()) {
       if (target.isUsable) return undefined;
       if (!target.isBackedOff) continue;
-      left = Math.min(left ?? Infinity, target.standing.backoffUntil - now);
+      left = Math.min(left ?? Infinity, target.availability.backoffUntil - now);
     }
     return left;
   }
 
   #chooseAmong(
     isUsable: (target: GatewayTarget) => boolean,
-    { bodyBytes }: PlaceWish,
+    { bodyBytes }: PlacementRequest,
     ahead: number,
   ): TargetChoice<GatewayTarget> {
     const { random, domain } = this.options;
     const drawn = drawCandidates(this.#readPool(), { random, isUsable });
     const homes = this.options.countHomes();
-    const tellers = this.options.countTellers();
-    const terms = { pattern: this.readPattern(), domain, homes, tellers, knee: this.knee };
-    return chooseTarget(drawn, (target) => target.view(terms), {
-      ...{ callsAhead: ahead, callRatio: this.#measureSharers(homes, tellers), random, bodyBytes },
+    const reportingHomes = this.options.countReportingHomes();
+    const terms = { pattern: this.readPattern(), domain, homes, reportingHomes, knee: this.knee };
+    return chooseTarget(drawn, (target) => target.createCandidateLoad(terms), {
+      ...{
+        callsAhead: ahead,
+        callRatio: this.#measureSharers(homes, reportingHomes),
+        random,
+        bodyBytes,
+      },
       targetsPerCandidate: Math.max(1, this.targets.size / MAX_CANDIDATES),
     });
   }
@@ -297,7 +302,7 @@
     this.#sharersAt = now;
     let own = 0;
     let all = 0;
-    for (const { belief, isUsable } of this.targets.values()) {
+    for (const { load: belief, isUsable } of this.targets.values()) {
       if (!isUsable) continue;
       own += belief.inFlight;
       all += belief.countCalls(now, homes, tellers);
--- a/src/gateway/targets/target-set.ts
+++ b/src/gateway/targets/target-set.ts
@@ -1,9 +1,9 @@
 /** The targets in use, by service, kept in step with the view. */
 import type { FleetView } from '../../view/index.js';
 import type { LearnedState, LearnedServiceState } from '../learned-state.js';
-import { StandingBook } from './standing-book.js';
+import { AvailabilityCache } from './availability-cache.js';
 import { GatewayTarget } from './target.js';
-import type { TargetListener } from './target-news.js';
+import type { TargetListener } from './target-events.js';
 import { TargetService, type TargetServiceOptions } from './target-service.js';
 
 /** A daemon to which no call has come for this long serves none. */
@@ -26,46 +26,46 @@
   readonly #deserted = new Set<TargetService>();
 
   /** Connections opened to targets since the start. */
-  opened = 0;
+  connectionsOpened = 0;
 
-  readonly #standings: StandingBook;
+  readonly #standings: AvailabilityCache;
 
   constructor(private readonly options: TargetSetOptions) {
-    this.#standings = new StandingBook(options.clock);
+    this.#standings = new AvailabilityCache(options.clock);
   }
 
   /** Finds a service, known or not: targets may appear before or after the configuration. */
-  find(name: string): TargetService {
+  getService(name: string): TargetService {
     const known = this.#services.get(name);
     if (known !== undefined) return known;
     const service = new TargetService(name, this.options);
     const lesson = this.#lessons[name];
-    if (lesson !== undefined) service.absorb(lesson);
+    if (lesson !== undefined) service.restoreLearnedState(lesson);
     this.#services.set(name, service);
     return service;
   }
 
   /** Takes what others have learnt of services. */
-  absorb(lessons: LearnedState['services']): void {
+  restoreLearnedState(lessons: LearnedState['services']): void {
     this.#lessons = lessons;
     for (const [name, service] of this.#services) {
       const lesson = lessons[name];
-      if (lesson !== undefined) service.absorb(lesson);
+      if (lesson !== undefined) service.restoreLearnedState(lesson);
     }
   }
 
   /** What has been learnt here of services. */
-  listLessons(): LearnedState['services'] {
+  readLearnedState(): LearnedState['services'] {
     const lessons: Record<string, LearnedServiceState> = {};
     for (const [name, service] of this.#services) {
-      const lesson = service.readLesson();
+      const lesson = service.readLearnedState();
       if (lesson !== undefined) lessons[name] = lesson;
     }
     return lessons;
   }
 
   /** The services in use. */
-  list(): readonly TargetService[] {
+  listServices(): readonly TargetService[] {
     return [...this.#services.values()];
   }
 
@@ -82,15 +82,15 @@
         service.targets.delete(incarnation);
         service.noteChange();
         this.#byHash.delete(target.hash);
-        this.#standings.keep(target.record, target.standing);
-        target.leave(record !== undefined && record.born > target.record.born);
+        this.#standings.keep(target.record, target.availability);
+        target.close(record !== undefined && record.born > target.record.born);
       }
     }
     const evacuated = new Set(view.evacuations.domains);
     for (const [incarnation, entry] of listed) {
       const isEvacuated = evacuated.has(entry.record.domain);
-      const service = this.find(entry.record.service);
-      const { targets, memory } = service;
+      const service = this.getService(entry.record.service);
+      const { targets, slowdownModel: memory } = service;
       const known = targets.get(incarnation);
       if (known !== undefined) {
         if (known.record.domain !== entry.record.domain) service.noteChange();
@@ -102,11 +102,16 @@
         continue;
       }
       const onOpened = () => {
-        this.opened += 1;
+        this.connectionsOpened += 1;
       };
       const { clock, listener } = this.options;
       const standing = this.#standings.find(entry.record);
-      const target = new GatewayTarget(entry, clock, { memory, onOpened, listener, standing });
+      const target = new GatewayTarget(entry, clock, {
+        slowdownModel: memory,
+        onConnectionOpened: onOpened,
+        listener,
+        availability: standing,
+      });
       target.update(entry, isEvacuated);
       targets.set(incarnation, target);
       service.noteChange();
@@ -116,13 +121,13 @@
 
   /** Where nothing limits what cold targets get, none is taken for cold on suspicion. */
   #readColdTime({ name }: TargetService): number {
-    const { rate, time } = this.options.readColdness(name);
+    const { rate, duration: time } = this.options.readColdStartLimits(name);
     return rate === Infinity ? 0 : time;
   }
 
   /** Whether calls come to this daemon, be it a few a second. */
   isServing(now: number): boolean {
-    return this.list().some((service) => now - service.lastCallAt < SERVING_TIME);
+    return this.listServices().some((service) => now - service.lastCallAt < SERVING_TIME);
   }
 
   /** Finds a target by the number that stands for it between daemons. */
@@ -131,11 +136,11 @@
   }
 
   /** Closes connections that have rested too long, and tells of services that no target takes calls of. */
-  trim(): void {
+  runPeriodicChecks(): void {
     for (const service of this.#services.values()) {
       for (const target of service.targets.values()) {
-        target.connections.trim();
-        target.reviewBackoff();
+        target.connections.closeExpired();
+        target.checkBackoffEnd();
       }
       this.#reviewService(service);
     }
@@ -148,7 +153,7 @@
     if (isDeserted) this.#deserted.add(service);
     else this.#deserted.delete(service);
     const { listener } = this.options;
-    if (isDeserted) listener.onDeserted(service);
-    else listener.onServed(service, usable);
+    if (isDeserted) listener.onServiceUnavailable(service);
+    else listener.onServiceAvailable(service, usable);
   }
 }
--- a/src/gateway/targets/target.ts
+++ b/src/gateway/targets/target.ts
@@ -27,7 +27,7 @@
 import type { ListedTarget } from '../../view/index.js';
 import { TargetConnections } from './connections.js';
 import { hashIncarnation } from './incarnation-hash.js';
-import type { TargetListener } from './target-news.js';
+import type { TargetListener } from './target-events.js';
 
 /** A target where a call is stuck is avoided for this long, in milliseconds, unless another one is. */
 const STUCK_TIME = 1500;
@@ -56,7 +56,7 @@
 const SLOW = 2.5;
 
 /** What a view of a target depends on besides the target. */
-export interface ViewTerms {
+export interface CandidateContext {
   /** How slow the targets of the service are, and for how long one stays so. */
   readonly pattern: SlowdownParameters;
   /** The failure domain of this daemon. */
@@ -64,29 +64,29 @@
   /** Daemons that send calls to the target. */
   readonly homes: number;
   /** Other homes that have told of their calls of late. */
-  readonly tellers: number;
+  readonly reportingHomes: number;
   readonly knee: KneeEstimate;
 }
 
 /** The answer that a target's report came with. */
 export interface ReportOrigin {
   /** When the request was sent, in milliseconds on this daemon's clock. */
-  readonly askedAt: number;
+  readonly sentAt: number;
   /** This daemon's calls that the report may count. */
-  readonly own: number;
+  readonly ownCalls: number;
   /** Whether it is a good answer to a call; only such a one says by its silence that the target names no rate. */
-  readonly isGood: boolean;
+  readonly isSuccess: boolean;
 }
 
 /** What a target in use is made from. */
 export interface GatewayTargetOptions {
   /** What its service learns from its reports. */
-  readonly memory: SlowdownModel;
+  readonly slowdownModel: SlowdownModel;
   /** Called for each connection opened. */
-  readonly onOpened: () => void;
+  readonly onConnectionOpened: () => void;
   readonly listener: TargetListener;
   /** What this incarnation has said before. */
-  readonly standing: Availability;
+  readonly availability: Availability;
 }
 
 /** The release of a target; those that say none count as one. */
@@ -96,12 +96,12 @@
 
 /** A target in use. */
 export class GatewayTarget {
-  readonly belief = new LoadEstimate();
+  readonly load = new LoadEstimate();
 
   readonly connections: TargetConnections;
 
   /** Its last reports of how slow it is. */
-  readonly trail: SlowdownHistory;
+  readonly slowdownHistory: SlowdownHistory;
 
   /** Until when it is cold, as far as is known. */
   readonly warmth = new WarmUpState();
@@ -110,16 +110,16 @@
   readonly failures = new FailureRate();
 
   /** The rate that it has said it takes. */
-  readonly named = new AdvertisedRate();
+  readonly advertisedRate = new AdvertisedRate();
 
   /** What it has said of whether it takes requests from here. */
-  readonly standing: Availability;
+  readonly availability: Availability;
 
   /** What this daemon may send there while all of them keep to a rate. */
-  readonly bucket = new RateLimiter();
+  readonly rateBucket = new RateLimiter();
 
   /** Calls that were sent there of late. */
-  readonly sent = new SendCounter();
+  readonly recentSends = new SendCounter();
 
   /** Stands for the incarnation in datagrams between daemons. */
   readonly hash: number;
@@ -144,24 +144,24 @@
   #losses: readonly Loss[] = [];
 
   /** Calls from here under which targets have ended before. */
-  suspects = 0;
+  suspectCalls = 0;
 
   /** When this daemon last sent a probe there. */
-  probedAt = -Infinity;
+  lastProbeAt = -Infinity;
 
   /** Called when the target has turned slow, so that calls there can look for another one. */
-  readonly onSlow = new Set<() => void>();
+  readonly slowListeners = new Set<() => void>();
 
   constructor(
     listed: ListedTarget,
     private readonly clock: Clock,
     private readonly options: GatewayTargetOptions,
   ) {
-    const { memory, onOpened, standing } = options;
-    this.standing = standing;
+    const { slowdownModel: memory, onConnectionOpened: onOpened, availability: standing } = options;
+    this.availability = standing;
     this.#listed = listed;
     this.warmth.suspectCold(listed.coldUntil);
-    this.trail = new SlowdownHistory(memory);
+    this.slowdownHistory = new SlowdownHistory(memory);
     this.hash = hashIncarnation(listed.record.incarnation, listed.record.born);
     this.connections = new TargetConnections(listed.record.address, clock, onOpened);
   }
@@ -173,12 +173,12 @@
 
   /** Whether new calls may go there. */
   get isUsable(): boolean {
-    return this.#isOpen && !this.standing.isBackedOff(this.clock.now());
+    return this.#isOpen && !this.availability.isBackedOff(this.clock.now());
   }
 
   /** Whether it wants nothing from this daemon for a time, and would get calls otherwise. */
   get isBackedOff(): boolean {
-    return this.#isOpen && this.standing.isBackedOff(this.clock.now());
+    return this.#isOpen && this.availability.isBackedOff(this.clock.now());
   }
 
   get #isOpen(): boolean {
@@ -189,21 +189,21 @@
    * Whether the target has ended without having said that it would. One that resets a connection, is cut off or
    * frozen has not: of those nobody refuses a new connection.
    */
-  async findEnded(): Promise<boolean> {
+  async checkEnded(): Promise<boolean> {
     if (this.#isLeaving) return false;
-    const presence = await this.connections.findPresence();
+    const presence = await this.connections.checkListening();
     return presence === 'nobody' && !this.#isLeaving;
   }
 
   /** Notes that a call was lost here, without a sign that the target ended. */
-  noteLoss(onEnded: () => void): void {
+  recordLoss(onEnded: () => void): void {
     const at = this.clock.now();
     const young = this.#losses.filter((loss) => at - loss.at < LOSS_LIFE);
     this.#losses = [...young, { at, onEnded }].slice(-MOST_LOSSES);
   }
 
   /** Notes that the target is in use no more. @param isReborn whether a later start took its name */
-  leave(isReborn: boolean): void {
+  close(isReborn: boolean): void {
     this.#isGone = true;
     this.connections.close();
     const losses = this.#losses;
@@ -218,7 +218,7 @@
   }
 
   get #isDraining(): boolean {
-    return this.record.state === 'draining' || this.standing.draining !== undefined;
+    return this.record.state === 'draining' || this.availability.draining !== undefined;
   }
 
   /**
@@ -244,122 +244,131 @@
 
   /** Counts a call that is sent there now. */
   start(now: number): void {
-    this.belief.start(now);
-    this.sent.record(now);
-    this.bucket.take();
+    this.load.start(now);
+    this.recentSends.record(now);
+    this.rateBucket.take();
   }
 
   /** Views the target for the choice. */
-  view({ pattern, domain, homes, tellers, knee }: ViewTerms): CandidateLoad {
+  createCandidateLoad({
+    pattern,
+    domain,
+    homes,
+    reportingHomes: tellers,
+    knee,
+  }: CandidateContext): CandidateLoad {
     const now = this.clock.now();
     return {
       slots: knee.findConcurrencyLimit(this.record.slots),
-      calls: this.belief.countCalls(now, homes, tellers),
-      slowdown: this.trail.estimate(now, pattern),
+      calls: this.load.countCalls(now, homes, tellers),
+      slowdown: this.slowdownHistory.estimate(now, pattern),
       coldFactor: this.warmth.isCold(now) ? COLD_FACTOR : 1,
       failureRatio: this.failures.read(now),
       // What runs beside a suspect may end with it, so others go elsewhere while there is room.
-      isSuspect: this.#ill || now < this.#stuckUntil || this.suspects > 0,
+      isSuspect: this.#ill || now < this.#stuckUntil || this.suspectCalls > 0,
       isOtherDomain: this.record.domain !== domain,
     };
   }
 
   /** Notes that a call failed there; where the target has asked for a back-off, that alone keeps calls away. */
-  noteFailure(): void {
-    if (this.standing.isBackedOff(this.clock.now())) return;
+  recordFailure(): void {
+    if (this.availability.isBackedOff(this.clock.now())) return;
     this.failures.recordFailure(this.clock.now());
   }
 
   /** Notes that a call was answered well there. */
-  noteSuccess(): void {
+  recordSuccess(): void {
     this.failures.recordSuccess(this.clock.now());
   }
 
   /** Notes that a call has been there for far too long. */
-  noteStuck(): void {
+  recordStuckCall(): void {
     this.#stuckUntil = this.clock.now() + STUCK_TIME;
   }
 
   /** Notes that bytes came that belong to no call: connections are not used twice for a while. */
-  noteStrayBytes(): void {
+  recordStrayBytes(): void {
     this.#suspectUntil = this.clock.now() + SUSPECT_TIME;
     this.connections.close();
   }
 
   /** Whether a connection may carry a second call. */
-  get keepsOrder(): boolean {
+  get isReuseSafe(): boolean {
     return this.clock.now() >= this.#suspectUntil;
   }
 
   /** Notes that another incarnation answers at this address. */
-  noteMisdirected(): void {
+  recordMisdirected(): void {
     this.#misdirected = true;
   }
 
   /** Takes the outcome of a health check. */
-  noteHealth(healthy: boolean): void {
+  recordHealth(healthy: boolean): void {
     this.#ill = !healthy;
   }
 
   /** Takes what the head of an answer says. */
-  takeReport(report: SelfReport, { askedAt, own, isGood }: ReportOrigin): void {
+  receiveReport(
+    report: SelfReport,
+    { sentAt: askedAt, ownCalls: own, isSuccess: isGood }: ReportOrigin,
+  ): void {
     const { incarnation = this.record.incarnation } = report;
     if (report.isMisdirected || incarnation !== this.record.incarnation) {
-      this.noteMisdirected();
+      this.recordMisdirected();
       return;
     }
     const now = this.clock.now();
     if (report.coldLeft !== undefined) this.warmth.observe(report.coldLeft, now);
-    this.noteLoad(report.load, own);
+    this.recordLoad(report.load, own);
     if (isGood || report.rate.kind !== 'silent') this.#noteRate(report.rate, askedAt);
-    this.noteDraining(report.draining);
+    this.receiveDraining(report.draining);
     this.#noteBackoff(report.backoff);
   }
 
   /** Takes whether an answer says that the target drains. */
-  noteDraining(stated: ReportedDraining): void {
+  receiveDraining(stated: ReportedDraining): void {
     const { listener } = this.options;
     if (stated.kind === 'unreadable') {
-      listener.onUnreadable(this, { field: 'draining', what: stated.text });
+      listener.onUnreadableHeader(this, { field: 'draining', what: stated.text });
     }
     if (stated.kind === 'draining') this.#takeDraining(this.clock.now());
   }
 
   /** Takes it from another daemon that the target drains. @param age how long ago it said so, in milliseconds */
-  noteDrainingTold(from: string, age: number): void {
+  receivePeerDraining(from: string, age: number): void {
     this.#takeDraining(this.clock.now() - age, from);
   }
 
   #takeDraining(at: number, from?: string): void {
-    if (!this.standing.recordDraining({ at, isDirect: from === undefined })) return;
+    if (!this.availability.recordDraining({ at, isDirect: from === undefined })) return;
     this.options.listener.onDraining(this, from ?? 'target', this.clock.now() - at);
   }
 
   #noteBackoff(stated: ReportedBackoff): void {
     const { listener } = this.options;
     if (stated.kind === 'unreadable') {
-      listener.onUnreadable(this, { field: 'backoff', what: stated.text });
+      listener.onUnreadableHeader(this, { field: 'backoff', what: stated.text });
     }
     if (stated.kind !== 'asked') return;
-    if (this.standing.recordBackoff(stated.time, this.clock.now())) {
+    if (this.availability.recordBackoff(stated.time, this.clock.now())) {
       this.#isToldBackedOff = true;
       listener.onBackoff(this, stated.time);
     }
   }
 
   /** Tells once that a back-off is over. */
-  reviewBackoff(): void {
-    if (!this.#isToldBackedOff || this.standing.isBackedOff(this.clock.now())) return;
+  checkBackoffEnd(): void {
+    if (!this.#isToldBackedOff || this.availability.isBackedOff(this.clock.now())) return;
     this.#isToldBackedOff = false;
-    this.options.listener.onBackoffOver(this);
+    this.options.listener.onBackoffEnd(this);
   }
 
   /** Takes a load report. @param own this daemon's calls that the report may count */
-  noteLoad(report: LoadReport | undefined, own: number): void {
+  recordLoad(report: LoadReport | undefined, own: number): void {
     if (report === undefined) return;
-    const before = this.belief.lastSlowdown;
-    this.belief.observeReport(report, own, this.clock.now());
-    this.trail.record(report.slowdown, this.clock.now());
+    const before = this.load.lastSlowdown;
+    this.load.observeReport(report, own, this.clock.now());
+    this.slowdownHistory.record(report.slowdown, this.clock.now());
     this.#wakeIfSlow(before);
   }
 
@@ -375,7 +384,7 @@
         this.#takeRate({ rate: stated.rate, at: this.clock.now() });
         return;
       case 'unreadable':
-        this.options.listener.onUnreadable(this, { field: 'rate', what: stated.text });
+        this.options.listener.onUnreadableHeader(this, { field: 'rate', what: stated.text });
         this.#takeRate({ rate: undefined, at: askedAt });
         return;
       case 'silent':
@@ -389,28 +398,28 @@
   /** @param home the daemon that told of it, when the target itself did not */
   #takeRate(told: RateAnnouncement, home?: string): void {
     const now = this.clock.now();
-    const change = this.named.observe(told, now, home === undefined);
+    const change = this.advertisedRate.observe(told, now, home === undefined);
     if (change === undefined) return;
     const { listener } = this.options;
-    listener.onRate(this, { ...change, age: now - told.at, from: home ?? 'target' });
+    listener.onRateChange(this, { ...change, age: now - told.at, from: home ?? 'target' });
   }
 
   /** Takes what another home knows of the target. */
-  noteShare(
+  receivePeerLoad(
     home: string,
     { inFlight, slowdown, age, advertisedRate: named }: TargetLoadReport,
   ): void {
     const now = this.clock.now();
     if (named !== undefined) this.#takeRate({ rate: named.rate, at: now - named.age }, home);
-    const before = this.belief.lastSlowdown;
-    this.belief.observeHomeCalls(home, inFlight, now);
-    const isNews = slowdown !== undefined && this.belief.observeSlowdown(slowdown, now - age);
-    if (isNews) this.trail.record(slowdown, now - age);
+    const before = this.load.lastSlowdown;
+    this.load.observeHomeCalls(home, inFlight, now);
+    const isNews = slowdown !== undefined && this.load.observeSlowdown(slowdown, now - age);
+    if (isNews) this.slowdownHistory.record(slowdown, now - age);
     this.#wakeIfSlow(before);
   }
 
   #wakeIfSlow(before: number): void {
-    if (before >= SLOW || this.belief.lastSlowdown < SLOW) return;
-    for (const wake of [...this.onSlow]) wake();
+    if (before >= SLOW || this.load.lastSlowdown < SLOW) return;
+    for (const wake of [...this.slowListeners]) wake();
   }
 }
--- a/test/draining.test.ts
+++ b/test/draining.test.ts
@@ -175,7 +175,7 @@
       0,
     );
     targets.update(view);
-    const [slow] = targets.find('alpha').targets.values();
+    const [slow] = targets.getService('alpha').targets.values();
     let connect: (result: ConnectionResult) => void = () => undefined;
     slow.connections.take = () =>
       new Promise((resolve) => {
@@ -184,7 +184,7 @@
     const freed: string[] = [];
     const sending = { requestId: '1', method: 'GET', path: '/', headers: [], body: undefined };
     const attempt = startTargetAttempt(slow, sending, { isRepeatable: false, clock });
-    slow.noteDraining({ kind: 'draining' });
+    slow.receiveDraining({ kind: 'draining' });
     const socket = { emit: (event: string) => freed.push(event) };
     connect({ kind: 'connected', connection: { socket } as never });
     expect((await attempt.done).kind).to.equal('withdrawn');
--- a/test/helpers/listener.ts
+++ b/test/helpers/listener.ts
@@ -1,12 +1,12 @@
 /** A listener to targets that does nothing. */
-import type { TargetListener } from '../../src/gateway/targets/target-news.js';
+import type { TargetListener } from '../../src/gateway/targets/target-events.js';
 
-export const quietListener: TargetListener = {
-  onRate: () => undefined,
+export const noopListener: TargetListener = {
+  onRateChange: () => undefined,
   onDraining: () => undefined,
   onBackoff: () => undefined,
-  onBackoffOver: () => undefined,
-  onUnreadable: () => undefined,
-  onDeserted: () => undefined,
-  onServed: () => undefined,
+  onBackoffEnd: () => undefined,
+  onUnreadableHeader: () => undefined,
+  onServiceUnavailable: () => undefined,
+  onServiceAvailable: () => undefined,
 };
--- a/test/helpers/news-fleet.ts
+++ b/test/helpers/news-fleet.ts
@@ -181,7 +181,7 @@
         fetchChanges: (from: string, question: FeedRequest) => fleet.fetch(this, from, question),
         fetchMembers: () => Promise.resolve(true),
       } as never,
-      listCases: () => [],
+      listPoisonReports: () => [],
     });
   }
 
@@ -223,7 +223,7 @@
       this.roster.mergePresence({ ...presence, age: presence.age + travelled });
     }
     const { lastRead: reading, proofAge } = knowledge;
-    await this.#exchange.hear(
+    await this.#exchange.receive(
       { ip, domain: other.domain, capacity: 1, isSenior: true },
       {
         ...{ ...knowledge, proofAge: proofAge + travelled },
--- a/test/helpers/targets.ts
+++ b/test/helpers/targets.ts
@@ -3,7 +3,7 @@
 import { TargetSet } from '../../src/gateway/targets/target-set.js';
 import { type Clock, createSeededRandom } from '../../src/kernel/index.js';
 import { FleetView } from '../../src/view/index.js';
-import { quietListener } from './listener.js';
+import { noopListener } from './listener.js';
 
 /** Creates an empty view. */
 export function createView(): FleetView {
@@ -19,10 +19,11 @@
 export function createTargets(clock: Clock): TargetSet {
   return new TargetSet({
     ...{ clock, random: createSeededRandom(1), domain: 'd1' },
-    ...{ countHomes: () => 1, countTellers: () => 0, findRegion: () => undefined },
-    listener: quietListener,
-    readColdness: () => ({ rate: Infinity, overshoot: 1, slack: 0, time: 0 }),
+    ...{ countHomes: () => 1, countReportingHomes: () => 0, findRegion: () => undefined },
+    listener: noopListener,
+    readColdStartLimits: () => ({ rate: Infinity, overshoot: 1, slack: 0, duration: 0 }),
     readShare: () => ({ part: 1, homes: ['127.0.0.1'], self: '127.0.0.1' }),
-    createBudget: () => new WindowBudget(clock, () => ({ ratio: 0.2, window: 10_000, slack: 5 })),
+    createRetryBudget: () =>
+      new WindowBudget(clock, () => ({ ratio: 0.2, window: 10_000, slack: 5 })),
   });
 }
--- a/test/homes.test.ts
+++ b/test/homes.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { BusyMeter } from '../src/gateway/fleet/busy-meter.js';
+import { UtilisationMeter } from '../src/gateway/fleet/utilisation-meter.js';
 import { HomePlanner } from '../src/gateway/fleet/home-planner.js';
 import { ManualClock } from '../src/kernel/index.js';
 import { type HomeUtilisation, HomeScaler, Roster } from '../src/peering/index.js';
@@ -90,7 +90,7 @@
     const told: string[] = [];
     const note = (event: string) => told.push(event);
     const planner = new HomePlanner({
-      ...{ clock, roster, self: self.ip, capacity: self.capacity, readLeast: () => 3 },
+      ...{ clock, roster, self: self.ip, capacity: self.capacity, readMinHomes: () => 3 },
       log: { debug: note, info: note, warn: note, error: note },
     });
     const running = new AbortController();
@@ -210,7 +210,7 @@
   it('follows the part of its time that was work', async () => {
     const clock = new ManualClock();
     let utilization = 0.2;
-    const meter = new BusyMeter(clock, () => utilization);
+    const meter = new UtilisationMeter(clock, () => utilization);
     expect(meter.read()).to.equal(0.2);
     utilization = 0.8;
     await clock.advance(500);
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -197,22 +197,23 @@
     const table = decodeConfiguration(writeConfiguration(1, [{ prefix: '/a/' }]));
     if ('kind' in table) throw new Error('expected a configuration');
     const prober = new Prober({
-      ...{ targets, clock, interval: 100, self, readTable: () => table, readBusy: () => 0 },
+      ...{ targets, clock, interval: 100, self, readTable: () => table, readUtilisation: () => 0 },
       listHomes: () => [{ ip: 'home', domain: 'd1' }],
-      readLimit: () => 60,
+      readProbeLimit: () => 60,
       countDaemons: () => ({ members: 300, present: 300 }),
     });
     const ends = new AbortController();
     prober.run(ends.signal).catch(() => undefined);
-    const service = targets.find('alpha');
+    const service = targets.getService('alpha');
     for (let at = 0; at < seconds * 1000; at += 10) {
       if (Math.floor((at * perSecond) / 1000) > Math.floor(((at - 10) * perSecond) / 1000)) {
-        service.noteCall();
+        service.recordCall();
       }
       await clock.advance(10);
     }
     ends.abort();
-    return [...service.targets.values()].filter(({ probedAt }) => probedAt > -Infinity).length;
+    return [...service.targets.values()].filter(({ lastProbeAt: probedAt }) => probedAt > -Infinity)
+      .length;
   }
 
   // Each of 312 daemons asked all of 503 targets when three callers came to it within a second.
--- a/test/lessons.test.ts
+++ b/test/lessons.test.ts
@@ -19,7 +19,7 @@
 import { KEYS, type KvStore, createKvStore } from '../src/platform/index.js';
 import { WindowBudget } from '../src/balance/index.js';
 import { KvStandin } from '../src/standin/index.js';
-import { quietListener } from './helpers/listener.js';
+import { noopListener } from './helpers/listener.js';
 
 const LESSONS: LearnedState = {
   services: { alpha: { mean: 2, slow: 5, life: 150, knee: 1.7 } },
@@ -145,19 +145,27 @@
     const clock = new ManualClock();
     const random = createSeededRandom(1);
     const targets = new TargetSet({
-      ...{ clock, random, domain: 'd', countHomes: () => 1, countTellers: () => 0 },
+      ...{ clock, random, domain: 'd', countHomes: () => 1, countReportingHomes: () => 0 },
       findRegion: () => undefined,
-      listener: quietListener,
-      readColdness: () => ({ rate: Infinity, overshoot: 1, slack: 0, time: 0 }),
+      listener: noopListener,
+      readColdStartLimits: () => ({ rate: Infinity, overshoot: 1, slack: 0, duration: 0 }),
       readShare: () => ({ part: 1, homes: ['127.0.0.1'], self: '127.0.0.1' }),
-      createBudget: () => new WindowBudget(clock, () => ({ ratio: 0, slack: 0, window: 1000 })),
+      createRetryBudget: () =>
+        new WindowBudget(clock, () => ({ ratio: 0, slack: 0, window: 1000 })),
     });
-    targets.find('alpha');
-    targets.absorb({ ...LESSONS.services, late: { ...LESSONS.services.alpha, life: 900 } });
-    expect(targets.find('alpha').readPattern()).to.deep.equal({ mean: 2, slow: 5, life: 150 });
-    expect(targets.find('alpha').knee.findConcurrencyLimit(6)).to.equal(4);
-    expect(targets.find('late').readPattern().life).to.equal(900);
-    expect(targets.listLessons()).to.deep.equal({});
+    targets.getService('alpha');
+    targets.restoreLearnedState({
+      ...LESSONS.services,
+      late: { ...LESSONS.services.alpha, life: 900 },
+    });
+    expect(targets.getService('alpha').readPattern()).to.deep.equal({
+      mean: 2,
+      slow: 5,
+      life: 150,
+    });
+    expect(targets.getService('alpha').knee.findConcurrencyLimit(6)).to.equal(4);
+    expect(targets.getService('late').readPattern().life).to.equal(900);
+    expect(targets.readLearnedState()).to.deep.equal({});
     const log = createRateLimitedLog(clock, 'error', {}, { writableLength: 0, write: () => true });
     const metrics = new TextMetrics();
     const reception = new RequestHandler({
--- a/test/load.test.ts
+++ b/test/load.test.ts
@@ -15,12 +15,16 @@
 } from '../src/balance/index.js';
 import { chooseHomes } from '../src/gateway/fleet/address-choice.js';
 import { LatencyBudgets } from '../src/gateway/requests/latency-budget.js';
-import { type SlotAnswer, type SlotCall, SlotQueue } from '../src/gateway/targets/slot-queue.js';
+import {
+  type PlacementResult,
+  type SlotCall,
+  SlotQueue,
+} from '../src/gateway/targets/slot-queue.js';
 import { GatewayTarget } from '../src/gateway/targets/target.js';
 import { ManualClock, createRateLimitedLog, createSeededRandom } from '../src/kernel/index.js';
 import { type Datagram, decodeDatagram, encodeDatagram } from '../src/peering/index.js';
 import type { Route } from '../src/routing/index.js';
-import { quietListener } from './helpers/listener.js';
+import { noopListener } from './helpers/listener.js';
 
 const IDLE: CandidateLoad = {
   ...{
@@ -276,14 +280,14 @@
       { record: { ...record, address, state: 'ready' }, revision: 1, coldUntil: 0 },
       clock,
       {
-        memory: new SlowdownModel(),
-        onOpened: () => undefined,
-        listener: quietListener,
-        standing: new Availability(),
+        slowdownModel: new SlowdownModel(),
+        onConnectionOpened: () => undefined,
+        listener: noopListener,
+        availability: new Availability(),
       },
     );
     queue = new SlotQueue(clock, createSeededRandom(7), () =>
-      target.belief.inFlight < limit
+      target.load.inFlight < limit
         ? { kind: 'now', candidate: target, load: { slowdown } }
         : { kind: 'wait', pace: 1, slowdown: 1 },
     );
@@ -295,13 +299,13 @@
     ...{ tried: new Set(), bodyBytes: 0, ...changes },
   });
   const order: string[] = [];
-  async function ask(name: string, changes: Partial<SlotCall> = {}): Promise<SlotAnswer> {
+  async function ask(name: string, changes: Partial<SlotCall> = {}): Promise<PlacementResult> {
     const answer = await queue.take(makeCall(changes));
     order.push(answer.kind === 'target' ? name : `${name} ${answer.kind}`);
     return answer;
   }
   async function releaseSlot(): Promise<void> {
-    target.belief.finish();
+    target.load.finish();
     await clock.advance(20);
   }
 
@@ -316,7 +320,7 @@
     expect(order).to.deep.equal(['a', 'b']);
     await releaseSlot();
     await Promise.all(asked);
-    expect(target.belief.inFlight).to.equal(1);
+    expect(target.load.inFlight).to.equal(1);
   });
   it('go by what can be in time, then priority, then the time left', async () => {
     order.length = 0;
@@ -336,10 +340,10 @@
     slowdown = 7;
     const unknown = { deadline: 300, mayBeRefused: true, isWorkKnown: false };
     expect((await ask('nothing is known of', unknown)).kind).to.equal('target');
-    target.belief.finish();
+    target.load.finish();
     const answer = await ask('tight', { deadline: 300, mayBeRefused: true });
     expect(answer).to.include({ kind: 'refused', reason: 'no-room' });
-    expect(target.belief.inFlight).to.equal(0);
+    expect(target.load.inFlight).to.equal(0);
     expect((await ask('sent before', { deadline: 300 })).kind).to.equal('target');
     slowdown = 1;
     limit = 2;
@@ -370,7 +374,7 @@
     expect(order).to.deep.equal(['first']);
     await clock.advance(150);
     expect(await waiting).to.include({ kind: 'refused' });
-    queue.leave(leaving);
+    queue.remove(leaving);
     expect(queue.size).to.equal(0);
   });
 });
--- a/test/measuring.test.ts
+++ b/test/measuring.test.ts
@@ -2,8 +2,8 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { computeProbeInterval } from '../src/balance/index.js';
-import { LoadSharing } from '../src/gateway/targets/load-sharing.js';
-import { findProber } from '../src/gateway/targets/prober.js';
+import { LoadExchange } from '../src/gateway/targets/load-exchange.js';
+import { chooseProbingHome } from '../src/gateway/targets/prober.js';
 import { ManualClock } from '../src/kernel/index.js';
 import type { TargetLoadReport } from '../src/peering/index.js';
 import type { TargetRecord } from '../src/platform/index.js';
@@ -37,7 +37,7 @@
       { ip: 'c', domain: 'd2' },
     ];
     const find = (domain: string, hash: number) =>
-      findProber({ hash, record: { domain } as TargetRecord }, homes);
+      chooseProbingHome({ hash, record: { domain } as TargetRecord }, homes);
     const probers = (domain: string) =>
       new Set(Array.from({ length: 60 }, (_, hash) => find(domain, hash)));
     expect([...probers('d1')]).to.deep.equal(['a']);
@@ -93,7 +93,7 @@
   /** Makes the sharing of one daemon; what it sends reaches the others at once. */
   function createDaemon(
     self: string,
-    daemons: Map<string, LoadSharing>,
+    daemons: Map<string, LoadExchange>,
     isServing: () => boolean,
     homes: readonly string[] = ['home'],
   ) {
@@ -105,19 +105,19 @@
     view.putTarget(record, 1, 0);
     const targets = createTargets(clock);
     targets.update(view);
-    const sharing = new LoadSharing({
+    const sharing = new LoadExchange({
       ...{ clock, targets, self, isServing, listHomes: () => homes },
       send: (to, shares) => {
         heard.push({ from: self, to, shares });
-        daemons.get(to)?.hear(self, shares);
+        daemons.get(to)?.receive(self, shares);
       },
       sendDraining: () => undefined,
     });
     daemons.set(self, sharing);
     sharing.run(ends.signal).catch(() => undefined);
-    const target = targets.find('alpha').targets.get('i-1');
+    const target = targets.getService('alpha').targets.get('i-1');
     if (target === undefined) throw new Error('the target is not there');
-    return target.belief;
+    return target.load;
   }
 
   beforeEach(() => {
@@ -128,7 +128,7 @@
   afterEach(() => ends.abort());
 
   it('tell the home of their calls, and hear of its', async () => {
-    const daemons = new Map<string, LoadSharing>();
+    const daemons = new Map<string, LoadExchange>();
     const atHome = createDaemon('home', daemons, () => true);
     const atOther = createDaemon('other', daemons, () => true);
     atHome.start(0);
@@ -140,13 +140,13 @@
   });
   // Repeats of targets without calls were most of what homes told each other on a large fleet.
   it('repeat nothing of a target without calls, and that they have none holds all the same', async () => {
-    const daemons = new Map<string, LoadSharing>();
+    const daemons = new Map<string, LoadExchange>();
     const homes = ['home', 'second'];
     const atHome = createDaemon('home', daemons, () => true, homes);
     const atSecond = createDaemon('second', daemons, () => true, homes);
     atHome.start(0);
     await clock.advance(1000);
-    expect(atSecond.countCalls(1000, 2, daemons.get('second')?.countTellers())).to.equal(1);
+    expect(atSecond.countCalls(1000, 2, daemons.get('second')?.countReportingHomes())).to.equal(1);
     atHome.finish();
     await clock.advance(100);
     heard.length = 0;
@@ -154,13 +154,13 @@
     expect(heard.flatMap(({ shares }) => shares)).to.deep.equal([]);
     expect(heard.filter(({ from }) => from === 'home')).to.have.length.within(8, 11);
     atSecond.start(6100);
-    expect(atSecond.countCalls(6100, 2, daemons.get('second')?.countTellers())).to.equal(1);
+    expect(atSecond.countCalls(6100, 2, daemons.get('second')?.countReportingHomes())).to.equal(1);
     // Without the word of the other home its calls are taken to be as many as the own ones.
     expect(atSecond.countCalls(6100, 2)).to.equal(2);
   });
   // Found on the users' bench: at 20 ms their words filled the homes' cores under overload.
   it('tell ten times a second at most, however their calls change', async () => {
-    const daemons = new Map<string, LoadSharing>();
+    const daemons = new Map<string, LoadExchange>();
     createDaemon('home', daemons, () => true);
     const atOther = createDaemon('other', daemons, () => true);
     for (let turn = 0; turn < 50; turn += 1) {
@@ -170,7 +170,7 @@
     expect(heard.filter(({ from }) => from === 'other')).to.have.length.within(5, 10);
   });
   it('are forgotten once they serve no more', async () => {
-    const daemons = new Map<string, LoadSharing>();
+    const daemons = new Map<string, LoadExchange>();
     createDaemon('home', daemons, () => true);
     let isServing = true;
     createDaemon('other', daemons, () => isServing);
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -1,9 +1,13 @@
 import { expect } from 'chai';
 import { Availability, SlowdownModel } from '../src/balance/index.js';
-import { type SlotAnswer, type SlotCall, SlotQueue } from '../src/gateway/targets/slot-queue.js';
+import {
+  type PlacementResult,
+  type SlotCall,
+  SlotQueue,
+} from '../src/gateway/targets/slot-queue.js';
 import { GatewayTarget } from '../src/gateway/targets/target.js';
 import { ManualClock, createSeededRandom } from '../src/kernel/index.js';
-import { quietListener } from './helpers/listener.js';
+import { noopListener } from './helpers/listener.js';
 
 const SLOTS = 26;
 const WORK = 220;
@@ -47,14 +51,14 @@
     },
     clock,
     {
-      memory: new SlowdownModel(),
-      onOpened: () => undefined,
-      listener: quietListener,
-      standing: new Availability(),
+      slowdownModel: new SlowdownModel(),
+      onConnectionOpened: () => undefined,
+      listener: noopListener,
+      availability: new Availability(),
     },
   );
   const queue = new SlotQueue(clock, random, () =>
-    target.belief.inFlight < SLOTS
+    target.load.inFlight < SLOTS
       ? { kind: 'now', candidate: target, load: { slowdown: 1 } }
       : { kind: 'wait', pace: 1 / SLOTS, slowdown: 1 },
   );
@@ -68,7 +72,7 @@
       ...{ priority: 1, aimAt, deadline: now + DEADLINE, work: WORK, spread: 1.4 },
       ...{ mayBeRefused: true, tried: new Set<GatewayTarget>(), bodyBytes: 0 },
     };
-    const settle = (answer: SlotAnswer) => {
+    const settle = (answer: PlacementResult) => {
       if (answer.kind === 'refused') {
         entry.refusedAt = clock.now();
         entry.wait = answer.wait;
@@ -76,7 +80,7 @@
       }
       clock.schedule(WORK * (0.6 + 0.8 * random.next()), () => {
         entry.answeredAt = clock.now();
-        target.belief.finish();
+        target.load.finish();
         queue.pump();
       });
     };
--- a/test/poison.test.ts
+++ b/test/poison.test.ts
@@ -13,7 +13,7 @@
 import { expect } from 'chai';
 import { WindowBudget } from '../src/balance/index.js';
 import { pause } from '../src/demo/index.js';
-import type { PlaceWish } from '../src/gateway/targets/slot-queue.js';
+import type { PlacementRequest } from '../src/gateway/targets/slot-queue.js';
 import type { TargetService } from '../src/gateway/targets/target-service.js';
 import { TargetSet } from '../src/gateway/targets/target-set.js';
 import { ManualClock, createSeededRandom } from '../src/kernel/index.js';
@@ -22,7 +22,7 @@
 import { FleetView } from '../src/view/index.js';
 import { waitUntil } from './helpers/fleet.js';
 import { type CallerReply, Site, sendTo } from './helpers/gateways.js';
-import { quietListener } from './helpers/listener.js';
+import { noopListener } from './helpers/listener.js';
 
 const POISON = '/a/poison?page=3';
 
@@ -254,11 +254,12 @@
   beforeEach(() => {
     const targets = new TargetSet({
       ...{ clock, random: createSeededRandom(5), domain: 'd', countHomes: () => 1 },
-      ...{ countTellers: () => 0, findRegion: () => undefined },
-      listener: quietListener,
-      readColdness: () => ({ rate: Infinity, overshoot: 1, slack: 0, time: 0 }),
+      ...{ countReportingHomes: () => 0, findRegion: () => undefined },
+      listener: noopListener,
+      readColdStartLimits: () => ({ rate: Infinity, overshoot: 1, slack: 0, duration: 0 }),
       readShare: () => ({ part: 1, homes: ['127.0.0.1'], self: '127.0.0.1' }),
-      createBudget: () => new WindowBudget(clock, () => ({ ratio: 0, slack: 0, window: 1000 })),
+      createRetryBudget: () =>
+        new WindowBudget(clock, () => ({ ratio: 0, slack: 0, window: 1000 })),
     });
     const ignore = () => undefined;
     const view = new FleetView({
@@ -271,23 +272,23 @@
     add(view, 'old-2', { release: 'v1' });
     add(view, 'young', { release: 'v2', born: NOW - 1000 });
     targets.update(view);
-    service = targets.find('s');
+    service = targets.getService('s');
   });
 
-  const choose = (wish: Partial<PlaceWish> = {}) => {
-    const advice = service.choosePlace(
-      { tried: new Set(), work: 10, bodyBytes: 0, care, ...wish },
+  const choose = (wish: Partial<PlacementRequest> = {}) => {
+    const advice = service.chooseTarget(
+      { tried: new Set(), work: 10, bodyBytes: 0, suspect: care, ...wish },
       0,
     );
     return advice.kind === 'now' ? advice.candidate.record.incarnation : advice.kind;
   };
   const find = (name: string) => service.targets.get(name) ?? expect.fail(name);
   const fill = (name: string) => {
-    for (let slot = 0; slot < 2; slot += 1) find(name).belief.start(clock.now());
+    for (let slot = 0; slot < 2; slot += 1) find(name).load.start(clock.now());
   };
 
   it('is a target that has run for long, where no other one runs', () => {
-    find('old-1').suspects = 1;
+    find('old-1').suspectCalls = 1;
     for (let turn = 0; turn < 20; turn += 1) expect(choose()).to.equal('old-2');
   });
   it('is any other rather than a place in the line', () => {
@@ -295,17 +296,18 @@
     fill('old-2');
     expect(choose()).to.equal('young');
     // Then it waits for no other reason than any call would.
-    find('young').suspects = 1;
+    find('young').suspectCalls = 1;
     expect(choose()).to.equal('wait');
-    expect(choose({ care: undefined })).to.equal('wait');
+    expect(choose({ suspect: undefined })).to.equal('wait');
   });
   it('is none of a release that it has ended', () => {
-    expect(choose({ care: { avoidedReleases: ['v1'] } })).to.equal('young');
-    expect(choose({ care: { avoidedReleases: ['v1', 'v2'] } })).to.equal('none');
+    expect(choose({ suspect: { avoidedReleases: ['v1'] } })).to.equal('young');
+    expect(choose({ suspect: { avoidedReleases: ['v1', 'v2'] } })).to.equal('none');
   });
   it('is avoided by others while there is room elsewhere', () => {
-    find('old-1').suspects = 1;
+    find('old-1').suspectCalls = 1;
     fill('young');
-    for (let turn = 0; turn < 20; turn += 1) expect(choose({ care: undefined })).to.equal('old-2');
+    for (let turn = 0; turn < 20; turn += 1)
+      expect(choose({ suspect: undefined })).to.equal('old-2');
   });
 });
--- a/test/strange.test.ts
+++ b/test/strange.test.ts
@@ -148,16 +148,16 @@
     const targets = createTargets(clock);
     view.putTarget(record, 5, 0);
     targets.update(view);
-    const before = targets.find('alpha').targets.get('i-1');
-    before?.belief.start(0);
-    before?.noteLoad({ running: 4, waiting: 2, slots: 4, slowdown: 7 }, 0);
-    before?.noteFailure();
-    before?.noteMisdirected();
+    const before = targets.getService('alpha').targets.get('i-1');
+    before?.load.start(0);
+    before?.recordLoad({ running: 4, waiting: 2, slots: 4, slowdown: 7 }, 0);
+    before?.recordFailure();
+    before?.recordMisdirected();
     view.putTarget({ ...record, born: 2000 }, 6, 0);
     targets.update(view);
-    const after = targets.find('alpha').targets.get('i-1');
-    expect(after?.belief.countCalls(0, 1)).to.equal(0);
-    expect(after?.belief.lastSlowdown).to.equal(1);
+    const after = targets.getService('alpha').targets.get('i-1');
+    expect(after?.load.countCalls(0, 1)).to.equal(0);
+    expect(after?.load.lastSlowdown).to.equal(1);
     expect(after?.failures.read(0)).to.equal(0);
     expect(after?.isUsable).to.equal(true);
     // What other daemons still tell of the earlier start is not taken for the later one.
