--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -324,11 +324,11 @@
     this.#reception = new RequestHandler({
       ...{ clock, random, log, targets: this.#targets, metrics: this.#metrics },
       poison: this.#poison,
-      ...{ turns: this.#turns, onInvariantViolation: (error: Error) => this.#fail(error) },
+      ...{ eventLoop: this.#turns, onInvariantViolation: (error: Error) => this.#fail(error) },
       readTable: () => (this.#state === 'starting' ? undefined : this.#view.table),
     });
     this.#callers = new CallerServer({
-      ...{ address: gateway.callers, clock, turns: this.#turns },
+      ...{ address: gateway.callers, clock, eventLoop: this.#turns },
       listenQueue: computeListenQueue(capacity),
       serve: (request, response, cameAt) => this.#reception.handle(request, response, cameAt),
     });
--- a/src/gateway/requests/backlog.ts
+++ b/src/gateway/requests/backlog.ts
@@ -32,7 +32,7 @@
 export interface BacklogOptions {
   readonly clock: Pick<Clock, 'now'>;
   readonly random: Random;
-  readonly turns: Pick<
+  readonly eventLoop: Pick<
     EventLoopMonitor,
     'mayHavePendingConnections' | 'accepted' | 'hasRecentListenOverflow' | 'scheduleAfterIteration'
   >;
@@ -123,14 +123,14 @@
     this.#isScheduled = true;
     let startedAt = 0;
     let begun = 0;
-    this.options.turns.scheduleAfterIteration(() => {
+    this.options.eventLoop.scheduleAfterIteration(() => {
       this.#isScheduled = false;
       startedAt = this.options.clock.now();
       begun = this.#serve(startedAt);
       this.#schedule();
     });
     // Runs after all that the requests begun do at once.
-    this.options.turns.scheduleAfterIteration(() => {
+    this.options.eventLoop.scheduleAfterIteration(() => {
       if (begun > 0) this.#cost.add((this.options.clock.now() - startedAt) / begun);
     });
   }
@@ -144,7 +144,7 @@
   #serve(now: number): number {
     const fresh = this.#fresh;
     this.#fresh = new Set();
-    const { turns } = this.options;
+    const { eventLoop: turns } = this.options;
     if (turns.mayHavePendingConnections && turns.accepted - this.#acceptedBefore < READING_COUNT)
       return 0;
     this.#acceptedBefore = turns.accepted;
--- a/src/gateway/requests/caller-server.ts
+++ b/src/gateway/requests/caller-server.ts
@@ -9,7 +9,7 @@
 export interface CallerServerOptions {
   readonly address: Address;
   readonly clock: Clock;
-  readonly turns: EventLoopMonitor;
+  readonly eventLoop: EventLoopMonitor;
   /** Connections that may wait to be accepted. */
   readonly listenQueue: number;
   /** `cameAt` is when the request is estimated to have come, on the clock. */
@@ -97,7 +97,7 @@
       this.#sockets.set(socket, 0);
       // Each request that came behind another one listens for the caller's leaving.
       socket.setMaxListeners(0);
-      this.#accepted.set(socket, options.turns.recordAccept());
+      this.#accepted.set(socket, options.eventLoop.recordAccept());
       this.accepted += 1;
       socket.on('close', () => this.#sockets.delete(socket));
     });
@@ -189,7 +189,7 @@
       if (active !== undefined) this.#sockets.set(socket, active - 1);
     });
     if (this.#draining && !this.#closeAfter(socket, response)) return;
-    const cameAt = this.options.turns.estimateArrival(this.#accepted.get(socket));
+    const cameAt = this.options.eventLoop.estimateArrival(this.#accepted.get(socket));
     this.#accepted.delete(socket);
     this.options.serve(request, response, cameAt);
   }
--- a/src/gateway/requests/request-handler.ts
+++ b/src/gateway/requests/request-handler.ts
@@ -35,7 +35,7 @@
   readonly targets: TargetSet;
   readonly metrics: TextMetrics;
   readonly poison: PoisonRegistry;
-  readonly turns: BacklogOptions['turns'];
+  readonly eventLoop: BacklogOptions['eventLoop'];
   /** Called when a request met a broken invariant. */
   readonly onInvariantViolation: (error: Error) => void;
   /** The configuration in force; undefined while this daemon may not serve by any. */
--- a/test/backlog.test.ts
+++ b/test/backlog.test.ts
@@ -25,7 +25,7 @@
   #ends: (() => void)[] = [];
 
   readonly backlog = new Backlog({
-    ...{ clock: this.clock, random: createSeededRandom(1), turns: this.turns },
+    ...{ clock: this.clock, random: createSeededRandom(1), eventLoop: this.turns },
   });
 
   #due = 0;
--- a/test/lessons.test.ts
+++ b/test/lessons.test.ts
@@ -170,7 +170,7 @@
     const metrics = new TextMetrics();
     const reception = new RequestHandler({
       ...{ clock, random, targets, metrics, log, readTable: () => undefined },
-      turns: {
+      eventLoop: {
         mayHavePendingConnections: false,
         accepted: 0,
         hasRecentListenOverflow: false,
