--- a/src/gateway/requests/answers.ts
+++ b/src/gateway/requests/answers.ts
@@ -9,60 +9,64 @@
  *
  * `not-run` promises that the request has not run and never will; `unknown` promises nothing.
  */
-export type Told =
+export type LocalAnswer =
   | { readonly kind: 'not-run'; readonly reason: string; readonly retryAfter: number }
   | { readonly kind: 'unknown'; readonly reason: 'timeout' | 'lost' }
   | { readonly kind: 'no-route' }
   | { readonly kind: 'bad-request'; readonly status: number; readonly reason: string };
 
-const NOT_RUN = 503;
+const SERVICE_UNAVAILABLE = 503;
 const GATEWAY_TIMEOUT = 504;
 const BAD_GATEWAY = 502;
 const NOT_FOUND = 404;
 
-function readStatus(told: Told): number {
-  switch (told.kind) {
+function chooseStatus(answer: LocalAnswer): number {
+  switch (answer.kind) {
     case 'not-run':
-      return NOT_RUN;
+      return SERVICE_UNAVAILABLE;
     case 'unknown':
-      return told.reason === 'timeout' ? GATEWAY_TIMEOUT : BAD_GATEWAY;
+      return answer.reason === 'timeout' ? GATEWAY_TIMEOUT : BAD_GATEWAY;
     case 'no-route':
       return NOT_FOUND;
     case 'bad-request':
-      return told.status;
+      return answer.status;
     default:
-      return told satisfies never;
+      return answer satisfies never;
   }
 }
 
 /** Headers that belong to one connection and not to the answer. */
-const HOP_BY_HOP = new Set([
+const HOP_BY_HOP_HEADERS = new Set([
   ...['connection', 'keep-alive', 'proxy-authenticate', 'proxy-connection', 'te', 'trailer'],
   ...['transfer-encoding', 'upgrade'],
 ]);
 
 /** Ends a response with what the caller is told. */
-export function writeTold(response: ServerResponse, requestId: string, told: Told): void {
+export function writeLocalAnswer(
+  response: ServerResponse,
+  requestId: string,
+  answer: LocalAnswer,
+): void {
   if (response.headersSent || response.destroyed) return;
-  const status = readStatus(told);
-  const reason = 'reason' in told ? told.reason : told.kind;
-  const body = JSON.stringify({ outcome: told.kind, reason });
+  const status = chooseStatus(answer);
+  const reason = 'reason' in answer ? answer.reason : answer.kind;
+  const body = JSON.stringify({ outcome: answer.kind, reason });
   const headers: Record<string, string | number> = {
     'Content-Type': 'application/json',
     'Content-Length': Buffer.byteLength(body),
   };
   if (requestId !== '') headers[HEADERS.requestId] = requestId;
-  if (told.kind === 'not-run') headers['Retry-After'] = (told.retryAfter / 1000).toFixed(3);
+  if (answer.kind === 'not-run') headers['Retry-After'] = (answer.retryAfter / 1000).toFixed(3);
   response.writeHead(status, headers);
   response.end(body);
 }
 
 /** Passes a target's answer on, unaltered but for what belongs to its connection. */
-export function writeAnswer(response: ServerResponse, answer: TargetAnswer): void {
+export function forwardAnswer(response: ServerResponse, answer: TargetAnswer): void {
   const headers: string[] = [];
   for (const [name, value] of listPairs(answer.rawHeaders)) {
     const lower = name.toLowerCase();
-    if (HOP_BY_HOP.has(lower) || lower === HEADERS.load.toLowerCase()) continue;
+    if (HOP_BY_HOP_HEADERS.has(lower) || lower === HEADERS.load.toLowerCase()) continue;
     if (lower === 'content-length' && answer.rest === undefined) continue;
     headers.push(name, value);
   }
--- a/src/gateway/requests/attempt.ts
+++ b/src/gateway/requests/attempt.ts
@@ -13,7 +13,7 @@
 import type { GatewayTarget } from '../targets/target.js';
 
 /** What is sent. */
-export interface Sending {
+export interface OutgoingRequest {
   readonly requestId: string;
   readonly method: string;
   /** Path and query as the caller sent them. */
@@ -44,9 +44,9 @@
   /** The target said that it did not run the request. */
   | { readonly kind: 'not-run'; readonly cause: 'shed' | 'misdirected' }
   /** It was sent and no whole answer came; `isEnded` tells whether its target has ended. */
-  | { readonly kind: 'lost'; readonly reason: string; readonly isEnded: boolean }
+  | { readonly kind: 'lost'; readonly reason: string; readonly hasTargetEnded: boolean }
   /** Given up by this daemon; `sent` tells whether the target may have had it. */
-  | { readonly kind: 'cancelled'; readonly sent: boolean };
+  | { readonly kind: 'cancelled'; readonly isSent: boolean };
 
 /** When parts of an attempt were done, in milliseconds from its start. */
 export interface AttemptTiming {
@@ -67,15 +67,15 @@
 }
 
 /** Longest answer that is held whole, in bytes: many times the users' longest. */
-const HELD_BYTES = 262_144;
+const MAX_BUFFERED_ANSWER_BYTES = 262_144;
 
 /** How long a connection may have rested when it carries what must not run twice. */
-const FRESH_REST = 1500;
+const MAX_UNSAFE_IDLE_MS = 1500;
 
-const ANY_REST = Infinity;
+const MAX_REPEATABLE_IDLE_MS = Infinity;
 
 /** Statuses from here on say that the target failed. */
-export const SERVER_ERROR = 500;
+export const MIN_FAILURE_STATUS = 500;
 
 class TargetAttempt implements RunningAttempt {
   #request: http.ClientRequest | undefined;
@@ -94,7 +94,7 @@
 
   constructor(
     readonly target: GatewayTarget,
-    private readonly sending: Sending,
+    private readonly outgoing: OutgoingRequest,
     readonly startedAt: number,
     private readonly clock: Clock,
   ) {
@@ -106,31 +106,31 @@
 
   async send(isRepeatable: boolean): Promise<void> {
     const { target } = this;
-    const longest = isRepeatable ? ANY_REST : FRESH_REST;
-    const taken = await target.connections.take(target.isReuseSafe ? longest : -1);
+    const maxIdleMs = isRepeatable ? MAX_REPEATABLE_IDLE_MS : MAX_UNSAFE_IDLE_MS;
+    const result = await target.connections.take(target.isReuseSafe ? maxIdleMs : -1);
     if (this.#isAborted) {
-      if (taken.kind === 'connected') taken.connection.socket.emit('free');
-      this.#settle({ kind: 'cancelled', sent: false });
+      if (result.kind === 'connected') result.connection.socket.emit('free');
+      this.#settle({ kind: 'cancelled', isSent: false });
       return;
     }
-    if (taken.kind === 'not-connected') {
-      this.#settle(taken);
+    if (result.kind === 'not-connected') {
+      this.#settle(result);
       return;
     }
     if (!target.isUsable) {
-      taken.connection.socket.emit('free');
+      result.connection.socket.emit('free');
       this.#settle({ kind: 'withdrawn' });
       return;
     }
     this.timing.connected = this.clock.now() - this.startedAt;
-    this.#write(taken.connection);
+    this.#sendRequest(result.connection);
   }
 
   abort(): void {
     this.#isAborted = true;
     if (this.#request === undefined) return;
     this.#request.destroy();
-    this.#settle({ kind: 'cancelled', sent: true });
+    this.#settle({ kind: 'cancelled', isSent: true });
   }
 
   #settle(outcome: AttemptOutcome): void {
@@ -140,69 +140,70 @@
   }
 
   /** Settles an attempt that brought no whole answer, once it is known what became of its target. */
-  #lose(reason: string): void {
+  #settleLost(reason: string): void {
     if (this.#isSettled) return;
     this.#isSettled = true;
-    const resolve = (isEnded: boolean) => this.#resolve({ kind: 'lost', reason, isEnded });
+    const resolve = (hasTargetEnded: boolean) =>
+      this.#resolve({ kind: 'lost', reason, hasTargetEnded });
     this.target.checkEnded().then(resolve, () => resolve(false));
   }
 
-  #write(connection: TargetConnection): void {
-    const { method, path, headers, body } = this.sending;
+  #sendRequest(connection: TargetConnection): void {
+    const { method, path, headers, body } = this.outgoing;
     const request = http.request({
       ...{ agent: connection.agent, method, path, setHost: false },
       headers: headers as unknown as http.OutgoingHttpHeaders,
     });
     this.#request = request;
     request.on('error', (error: NodeJS.ErrnoException) => {
-      this.#lose(error.code ?? error.message);
+      this.#settleLost(error.code ?? error.message);
     });
-    request.on('response', (response) => this.#read(response, connection));
+    request.on('response', (response) => this.#handleResponse(response, connection));
     if (body === undefined || Buffer.isBuffer(body)) request.end(body);
     else body.pipe(request);
   }
 
-  #read(response: IncomingMessage, connection: TargetConnection): void {
+  #handleResponse(response: IncomingMessage, connection: TargetConnection): void {
     const { target } = this;
     this.timing.head = this.clock.now() - this.startedAt;
     response.on('error', (error) => {
-      this.#lose(error.message);
+      this.#settleLost(error.message);
       connection.socket.destroy();
     });
     const { statusCode: status = 0, headers } = response;
     const report = decodeSelfReport(status, headers);
-    const echoed = readHeader(headers, HEADERS.requestId);
-    if (echoed !== undefined && echoed !== this.sending.requestId) {
+    const echoedId = readHeader(headers, HEADERS.requestId);
+    if (echoedId !== undefined && echoedId !== this.outgoing.requestId) {
       target.receiveDraining(report.draining);
       target.recordStrayBytes();
       this.#settle({
-        ...{ kind: 'lost', reason: 'the answer belongs to another request', isEnded: false },
+        ...{ kind: 'lost', reason: 'the answer belongs to another request', hasTargetEnded: false },
       });
       connection.socket.destroy();
       return;
     }
     connection.idleLimit = parseIdleLimit(readHeader(headers, 'keep-alive'));
-    this.#takeReport(report, status);
+    this.#applyReport(report, status);
     if (report.isRejected || report.isMisdirected) {
       response.resume();
       this.#settle({ kind: 'not-run', cause: report.isMisdirected ? 'misdirected' : 'shed' });
       return;
     }
-    this.#hold(response, report.isSigned);
+    this.#readBody(response, report.isSigned);
   }
 
-  #takeReport(report: SelfReport, status: number): void {
+  #applyReport(report: SelfReport, status: number): void {
     const { target, startedAt } = this;
     // The answered call is still counted here, and no longer there.
-    const own = target.load.countArrived(this.clock.now()) - 1;
-    const isGood = !report.isRejected && report.isSigned && status < SERVER_ERROR;
-    target.receiveReport(report, { sentAt: startedAt, ownCalls: own, isSuccess: isGood });
+    const ownCalls = target.load.countArrived(this.clock.now()) - 1;
+    const isSuccess = !report.isRejected && report.isSigned && status < MIN_FAILURE_STATUS;
+    target.receiveReport(report, { sentAt: startedAt, ownCalls, isSuccess });
   }
 
-  #hold(response: IncomingMessage, isSigned: boolean): void {
+  #readBody(response: IncomingMessage, isSigned: boolean): void {
     const chunks: Buffer[] = [];
     let length = 0;
-    const answer = (rest: IncomingMessage | undefined): AttemptOutcome => ({
+    const createOutcome = (rest: IncomingMessage | undefined): AttemptOutcome => ({
       kind: 'answered',
       answer: {
         status: response.statusCode ?? 0,
@@ -218,29 +219,29 @@
     const onData = (chunk: Buffer) => {
       chunks.push(chunk);
       length += chunk.length;
-      if (length <= HELD_BYTES) return;
+      if (length <= MAX_BUFFERED_ANSWER_BYTES) return;
       response.pause();
       response.removeListener('data', onData);
       response.removeListener('end', onEnd);
-      this.#settle(answer(response));
+      this.#settle(createOutcome(response));
     };
     const onEnd = () => {
-      if (response.complete) this.#settle(answer(undefined));
-      else this.#lose('the answer broke off');
+      if (response.complete) this.#settle(createOutcome(undefined));
+      else this.#settleLost('the answer broke off');
     };
     response.on('data', onData);
     response.on('end', onEnd);
-    response.on('aborted', () => this.#lose('the answer broke off'));
+    response.on('aborted', () => this.#settleLost('the answer broke off'));
   }
 }
 
 /** Starts an attempt at a target where the call is counted already. */
 export function startTargetAttempt(
   target: GatewayTarget,
-  sending: Sending,
+  outgoing: OutgoingRequest,
   options: { readonly isRepeatable: boolean; readonly clock: Clock },
 ): RunningAttempt {
-  const attempt = new TargetAttempt(target, sending, options.clock.now(), options.clock);
+  const attempt = new TargetAttempt(target, outgoing, options.clock.now(), options.clock);
   attempt.done.then(() => target.load.finish()).catch(() => undefined);
   attempt.send(options.isRepeatable).catch(() => undefined);
   return attempt;
--- a/src/gateway/requests/backlog.ts
+++ b/src/gateway/requests/backlog.ts
@@ -18,10 +18,10 @@
 /** A request that was read. Times are on the clock, in milliseconds. */
 export interface BacklogCall extends QueuedCall {
   /** When it is estimated to have come. */
-  readonly cameAt: number;
+  readonly estimatedArrivalAt: number;
   /** Whether its caller has left. */
-  readonly isGone: () => boolean;
-  readonly begin: () => void;
+  readonly hasCallerLeft: () => boolean;
+  readonly start: () => void;
   /** Tells its caller that it has not run, and after how long it may return. */
   readonly refuse: (wait: number) => void;
   /** Ends it without an answer. */
@@ -42,79 +42,79 @@
  * Time in a turn for beginning requests, in milliseconds. What was begun makes about twice as much work in later
  * turns, so turns stay near three times this: below what callers with aims of 100 ms notice.
  */
-const BEGIN_TIME = 5;
+const MAX_START_TIME_MS = 5;
 
 /**
  * While connections wait to be accepted nothing is begun until this many were. A count, as the processor may be
  * taken away at any moment: they take as much time as what is begun in a turn.
  */
-const READING_COUNT = 12;
+const MAX_ACCEPTS_BEFORE_START = 12;
 
 /**
  * A request that may have lain unread for longer than this is begun after one more look at its connection:
  * its caller's leaving is read in a turn of its own. In milliseconds, shorter than any caller waits. The same
  * holds for every request while connections may come whose callers have waited elsewhere, and left.
  */
-const LOOK_AGAIN = 20;
+const MAX_UNREAD_TIME_MS = 20;
 
 /** Time to begin the first request, with code that is cold, in milliseconds. */
-const FIRST_COST = 2;
+const INITIAL_COST_MS = 2;
 
 /** The pace follows some dozens of requests, in milliseconds. */
-const HALF_LIFE = 500;
+const PACE_HALF_LIFE_MS = 500;
 
 /** Requests begun in one turn at most, however cheap they seem: each sends to a target at once. */
-const MOST_IN_TURN = 64;
+const MAX_BATCH_SIZE = 64;
 
 /** The backlog of one daemon. */
 export class Backlog {
-  readonly #line: WaitQueue<BacklogCall>;
+  readonly #queue: WaitQueue<BacklogCall>;
 
   /** Requests that came since the last look at all connections. */
-  #fresh = new Set<BacklogCall>();
+  #unpolled = new Set<BacklogCall>();
 
   /** Time to begin one: the median, since the processor may be taken away while one is begun. */
-  readonly #cost = new QuantileEstimate(0.5);
+  readonly #startCost = new QuantileEstimate(0.5);
 
-  readonly #pace = new DecayingMean(HALF_LIFE);
+  readonly #pace = new DecayingMean(PACE_HALF_LIFE_MS);
 
   #isScheduled = false;
 
   /** Connections accepted when something was begun last. */
-  #acceptedBefore = 0;
+  #acceptedAtLastStart = 0;
 
   /** The last turn with requests left over, and how many it began; undefined when none are. */
-  #leftOver: { readonly at: number; readonly begun: number } | undefined;
+  #lastPartialBatch: { readonly at: number; readonly startedCount: number } | undefined;
 
   constructor(private readonly options: BacklogOptions) {
-    this.#line = new WaitQueue(options.clock, options.random);
+    this.#queue = new WaitQueue(options.clock, options.random);
   }
 
   /** Requests that wait. */
   get size(): number {
-    return this.#line.size;
+    return this.#queue.size;
   }
 
   /** Time between two beginnings while requests wait, in milliseconds. */
   get pace(): number {
-    return this.#pace.read(this.#cost.read(FIRST_COST));
+    return this.#pace.read(this.#startCost.read(INITIAL_COST_MS));
   }
 
   /** Takes a request: it is begun at the end of this turn, or waits for a later one, or is refused. */
   add(call: BacklogCall): void {
-    this.#line.recordArrival(call);
-    this.#line.updatePace(this.pace, 1);
+    this.#queue.recordArrival(call);
+    this.#queue.updatePace(this.pace, 1);
     let isSure = true;
-    if (this.size >= this.#countBatch()) {
-      const admission = this.#line.judge(call);
+    if (this.size >= this.#computeBatchSize()) {
+      const admission = this.#queue.judge(call);
       if (admission.kind === 'refuse' && call.mayBeRefused && call.isWorkKnown) {
-        call.refuse(this.#line.chooseRetryDelay(admission.wait));
+        call.refuse(this.#queue.chooseRetryDelay(admission.wait));
         return;
       }
       isSure = admission.kind === 'in-time';
     }
-    this.#line.add(call, isSure);
-    this.#fresh.add(call);
+    this.#queue.add(call, isSure);
+    this.#unpolled.add(call);
     this.#schedule();
   }
 
@@ -122,64 +122,74 @@
     if (this.#isScheduled || this.size === 0) return;
     this.#isScheduled = true;
     let startedAt = 0;
-    let begun = 0;
+    let startedCount = 0;
     this.options.eventLoop.scheduleAfterIteration(() => {
       this.#isScheduled = false;
       startedAt = this.options.clock.now();
-      begun = this.#serve(startedAt);
+      startedCount = this.#startBatch(startedAt);
       this.#schedule();
     });
     // Runs after all that the requests begun do at once.
     this.options.eventLoop.scheduleAfterIteration(() => {
-      if (begun > 0) this.#cost.add((this.options.clock.now() - startedAt) / begun);
+      if (startedCount > 0)
+        this.#startCost.add((this.options.clock.now() - startedAt) / startedCount);
     });
   }
 
-  #countBatch(): number {
-    const count = Math.floor(BEGIN_TIME / Math.max(0.01, this.#cost.read(FIRST_COST)));
-    return Math.min(MOST_IN_TURN, Math.max(1, count));
+  #computeBatchSize(): number {
+    const count = Math.floor(
+      MAX_START_TIME_MS / Math.max(0.01, this.#startCost.read(INITIAL_COST_MS)),
+    );
+    return Math.min(MAX_BATCH_SIZE, Math.max(1, count));
   }
 
   /** Begins the requests whose turn has come; returns how many. */
-  #serve(now: number): number {
-    const fresh = this.#fresh;
-    this.#fresh = new Set();
-    const { eventLoop: turns } = this.options;
-    if (turns.mayHavePendingConnections && turns.accepted - this.#acceptedBefore < READING_COUNT)
+  #startBatch(now: number): number {
+    const unpolled = this.#unpolled;
+    this.#unpolled = new Set();
+    const { eventLoop } = this.options;
+    if (
+      eventLoop.mayHavePendingConnections &&
+      eventLoop.accepted - this.#acceptedAtLastStart < MAX_ACCEPTS_BEFORE_START
+    )
       return 0;
-    this.#acceptedBefore = turns.accepted;
-    const batch = this.#countBatch();
-    let begun = 0;
-    for (const call of this.#line.list()) {
-      if (call.isGone()) {
-        this.#line.remove(call);
+    this.#acceptedAtLastStart = eventLoop.accepted;
+    const batchSize = this.#computeBatchSize();
+    let startedCount = 0;
+    for (const call of this.#queue.list()) {
+      if (call.hasCallerLeft()) {
+        this.#queue.remove(call);
         call.drop();
         continue;
       }
-      if (begun >= batch) break;
-      if (fresh.has(call) && (turns.hasRecentListenOverflow || now - call.cameAt > LOOK_AGAIN))
+      if (startedCount >= batchSize) break;
+      if (
+        unpolled.has(call) &&
+        (eventLoop.hasRecentListenOverflow || now - call.estimatedArrivalAt > MAX_UNREAD_TIME_MS)
+      )
         continue;
-      this.#line.remove(call);
-      call.begin();
-      begun += 1;
+      this.#queue.remove(call);
+      call.start();
+      startedCount += 1;
     }
-    this.#notePace(begun, now);
-    for (const { call, wait } of this.#line.removeHopeless()) {
-      if (call.isGone()) call.drop();
-      else call.refuse(this.#line.chooseRetryDelay(wait));
+    this.#recordPace(startedCount, now);
+    for (const { call, wait } of this.#queue.removeHopeless()) {
+      if (call.hasCallerLeft()) call.drop();
+      else call.refuse(this.#queue.chooseRetryDelay(wait));
     }
-    return begun;
+    return startedCount;
   }
 
   /** Learns the pace from turns after which requests were left over. */
-  #notePace(begun: number, now: number): void {
-    const since = this.#leftOver;
-    if (since !== undefined && since.begun > 0) {
-      this.#pace.add((now - since.at) / since.begun, now);
-      this.#line.updatePace(this.pace, 1);
+  #recordPace(startedCount: number, now: number): void {
+    const previous = this.#lastPartialBatch;
+    if (previous !== undefined && previous.startedCount > 0) {
+      this.#pace.add((now - previous.at) / previous.startedCount, now);
+      this.#queue.updatePace(this.pace, 1);
     }
-    if (this.size === 0) this.#leftOver = undefined;
-    else if (since === undefined || since.begun > 0) this.#leftOver = { at: now, begun };
-    else this.#leftOver = { at: since.at, begun };
+    if (this.size === 0) this.#lastPartialBatch = undefined;
+    else if (previous === undefined || previous.startedCount > 0)
+      this.#lastPartialBatch = { at: now, startedCount };
+    else this.#lastPartialBatch = { at: previous.at, startedCount };
   }
 }
--- a/src/gateway/requests/caller-disconnect.ts
+++ b/src/gateway/requests/caller-disconnect.ts
@@ -9,22 +9,22 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
 /** Whether the caller has left. */
-export function isCallerGone(request: IncomingMessage, response: ServerResponse): boolean {
+export function hasCallerLeft(request: IncomingMessage, response: ServerResponse): boolean {
   const { socket } = request;
   return response.destroyed || socket.destroyed || socket.readableEnded;
 }
 
 /** Calls `onLeft` when the caller leaves before its answer is complete; returns what ends the watch. */
-export function watchLeaving(
+export function watchDisconnect(
   request: IncomingMessage,
   response: ServerResponse,
-  onLeft: () => void,
+  onDisconnect: () => void,
 ): () => void {
   const { socket } = request;
-  response.once('close', onLeft);
-  socket.once('end', onLeft);
+  response.once('close', onDisconnect);
+  socket.once('end', onDisconnect);
   return () => {
-    response.removeListener('close', onLeft);
-    socket.removeListener('end', onLeft);
+    response.removeListener('close', onDisconnect);
+    socket.removeListener('end', onDisconnect);
   };
 }
--- a/src/gateway/requests/caller-server.ts
+++ b/src/gateway/requests/caller-server.ts
@@ -13,39 +13,43 @@
   /** Connections that may wait to be accepted. */
   readonly listenQueue: number;
   /** `cameAt` is when the request is estimated to have come, on the clock. */
-  readonly serve: (request: IncomingMessage, response: ServerResponse, cameAt: number) => void;
+  readonly serve: (
+    request: IncomingMessage,
+    response: ServerResponse,
+    estimatedArrivalAt: number,
+  ) => void;
 }
 
 /** Longest head that the parser takes; the operators' own limit is checked after it. */
-const PARSER_HEADER_BYTES = 131_072;
+const MAX_PARSED_HEADER_BYTES = 131_072;
 
 /** A connection is kept a little longer than callers are told, so that none meets its close. */
-const IDLE_MARGIN = 1000;
+const IDLE_MARGIN_MS = 1000;
 
-const FIRST_HEADER_TIMEOUT = 10_000;
-const FIRST_IDLE_TIMEOUT = 15_000;
-const CHECK_PACE = 500;
+const DEFAULT_HEADER_TIMEOUT_MS = 10_000;
+const DEFAULT_IDLE_TIMEOUT_MS = 15_000;
+const TIMEOUT_CHECK_INTERVAL_MS = 500;
 
-const TIMEOUT = 408;
+const REQUEST_TIMEOUT = 408;
 
 const PARSER_STATUS: Readonly<Record<string, number>> = {
   HPE_HEADER_OVERFLOW: 431,
-  ERR_HTTP_REQUEST_TIMEOUT: TIMEOUT,
+  ERR_HTTP_REQUEST_TIMEOUT: REQUEST_TIMEOUT,
 };
 
 /** How long a connection that this daemon closes is read from, for a request that crosses the close. */
-const LINGER = 150;
+const LINGER_MS = 150;
 
 /** Connections that a whole core accepts, reads and refuses in a second. */
-const ACCEPT_RATE = 1000;
+const ACCEPTS_PER_CORE_SECOND = 1000;
 
 /**
  * Nothing sees a connection before it is accepted, so what waits there must not be old: callers that have
  * waited this long and are refused can still be served elsewhere, in milliseconds.
  */
-const LISTEN_WAIT = 200;
+const MAX_LISTEN_WAIT_MS = 200;
 
-const LEAST_LISTEN_QUEUE = 16;
+const MIN_LISTEN_QUEUE = 16;
 
 /**
  * Computes how many connections may wait to be accepted. When more come, callers get no connection and turn
@@ -54,61 +58,64 @@
  * @param capacity cores of this machine, as a number that may be below 1
  */
 export function computeListenQueue(capacity: number): number {
-  return Math.max(LEAST_LISTEN_QUEUE, Math.round((capacity * ACCEPT_RATE * LISTEN_WAIT) / 1000));
+  return Math.max(
+    MIN_LISTEN_QUEUE,
+    Math.round((capacity * ACCEPTS_PER_CORE_SECOND * MAX_LISTEN_WAIT_MS) / 1000),
+  );
 }
 
 /** The listener of one daemon. */
 export class CallerServer {
   readonly #server: http.Server;
 
-  readonly #sockets = new Map<Socket, number>();
+  readonly #activeRequests = new Map<Socket, number>();
 
   /** Connections accepted since the start. */
   accepted = 0;
 
-  #draining = false;
+  #isDraining = false;
 
-  #closing = false;
+  #isClosing = false;
 
   /** Connections on which a refusal of the whole connection was written. */
   readonly #refused = new WeakSet<Socket>();
 
   /** Answers that will close their connections. */
-  readonly #closers = new WeakMap<Socket, ServerResponse>();
+  readonly #closingResponses = new WeakMap<Socket, ServerResponse>();
 
   /** When connections were accepted that have not carried a request yet. */
-  readonly #accepted = new WeakMap<Socket, AcceptMark>();
+  readonly #acceptMarks = new WeakMap<Socket, AcceptMark>();
 
   /** Bytes that had been read from a connection when its last request ended. */
-  readonly #bytesAtRest = new WeakMap<Socket, number>();
+  readonly #bytesReadAtIdle = new WeakMap<Socket, number>();
 
   constructor(private readonly options: CallerServerOptions) {
     this.#server = http.createServer({
-      maxHeaderSize: PARSER_HEADER_BYTES,
-      headersTimeout: FIRST_HEADER_TIMEOUT,
+      maxHeaderSize: MAX_PARSED_HEADER_BYTES,
+      headersTimeout: DEFAULT_HEADER_TIMEOUT_MS,
       requestTimeout: 0,
-      connectionsCheckingInterval: CHECK_PACE,
-      keepAliveTimeout: FIRST_IDLE_TIMEOUT,
+      connectionsCheckingInterval: TIMEOUT_CHECK_INTERVAL_MS,
+      keepAliveTimeout: DEFAULT_IDLE_TIMEOUT_MS,
       noDelay: true,
       requireHostHeader: false,
     });
     this.#server.maxHeadersCount = 0;
     this.#server.on('connection', (socket: Socket) => {
-      this.#sockets.set(socket, 0);
+      this.#activeRequests.set(socket, 0);
       // Each request that came behind another one listens for the caller's leaving.
       socket.setMaxListeners(0);
-      this.#accepted.set(socket, options.eventLoop.recordAccept());
+      this.#acceptMarks.set(socket, options.eventLoop.recordAccept());
       this.accepted += 1;
-      socket.on('close', () => this.#sockets.delete(socket));
+      socket.on('close', () => this.#activeRequests.delete(socket));
     });
-    this.#server.on('request', (request, response) => this.#take(request, response));
+    this.#server.on('request', (request, response) => this.#handleRequest(request, response));
     this.#server.on('checkContinue', (request: IncomingMessage, response: ServerResponse) => {
       response.writeContinue();
-      this.#take(request, response);
+      this.#handleRequest(request, response);
     });
     this.#server.on('clientError', (error: NodeJS.ErrnoException, socket) => {
       const status = PARSER_STATUS[error.code ?? ''] ?? 400;
-      const isBusy = (this.#sockets.get(socket as Socket) ?? 0) > 0;
+      const isBusy = (this.#activeRequests.get(socket as Socket) ?? 0) > 0;
       if (isBusy || !socket.writable || error.code === 'ECONNRESET') {
         socket.destroy();
         return;
@@ -116,7 +123,10 @@
       // Whatever else comes on this connection has been told that it will not run.
       this.#refused.add(socket as Socket);
       const { bytesRead } = socket as Socket;
-      if (status === TIMEOUT && bytesRead === (this.#bytesAtRest.get(socket as Socket) ?? 0)) {
+      if (
+        status === REQUEST_TIMEOUT &&
+        bytesRead === (this.#bytesReadAtIdle.get(socket as Socket) ?? 0)
+      ) {
         socket.end();
         return;
       }
@@ -138,24 +148,24 @@
   setLimits(limits: RequestLimits): void {
     const { headerTimeout, idleTimeout } = limits;
     if (Number.isFinite(headerTimeout)) this.#server.headersTimeout = headerTimeout;
-    if (Number.isFinite(idleTimeout)) this.#server.keepAliveTimeout = idleTimeout + IDLE_MARGIN;
+    if (Number.isFinite(idleTimeout)) this.#server.keepAliveTimeout = idleTimeout + IDLE_MARGIN_MS;
   }
 
   /** Requests that are being served. */
   countActive(): number {
     let active = 0;
-    for (const count of this.#sockets.values()) active += count;
+    for (const count of this.#activeRequests.values()) active += count;
     return active;
   }
 
   /** Connections open now. */
   countConnections(): number {
-    return this.#sockets.size;
+    return this.#activeRequests.size;
   }
 
   /** From now on answers tell callers to close their connections; those at rest stay usable. */
   drain(): void {
-    this.#draining = true;
+    this.#isDraining = true;
   }
 
   /**
@@ -163,35 +173,37 @@
    * tell from the closed connection that it was not read.
    */
   async closeIdle(): Promise<void> {
-    this.#closing = true;
-    for (const [socket, active] of this.#sockets) {
+    this.#isClosing = true;
+    for (const [socket, active] of this.#activeRequests) {
       if (active === 0) socket.end();
     }
-    await this.options.clock.sleep(LINGER);
+    await this.options.clock.sleep(LINGER_MS);
   }
 
   /** Stops listening and closes everything. */
   close(): void {
     this.#server.close();
-    for (const socket of this.#sockets.keys()) socket.destroy();
+    for (const socket of this.#activeRequests.keys()) socket.destroy();
   }
 
-  #take(request: IncomingMessage, response: ServerResponse): void {
+  #handleRequest(request: IncomingMessage, response: ServerResponse): void {
     const { socket } = request;
-    if (this.#refused.has(socket) || (this.#closing && !socket.writable)) {
+    if (this.#refused.has(socket) || (this.#isClosing && !socket.writable)) {
       socket.destroy();
       return;
     }
-    this.#sockets.set(socket, (this.#sockets.get(socket) ?? 0) + 1);
+    this.#activeRequests.set(socket, (this.#activeRequests.get(socket) ?? 0) + 1);
     response.on('close', () => {
-      this.#bytesAtRest.set(socket, socket.bytesRead);
-      const active = this.#sockets.get(socket);
-      if (active !== undefined) this.#sockets.set(socket, active - 1);
+      this.#bytesReadAtIdle.set(socket, socket.bytesRead);
+      const active = this.#activeRequests.get(socket);
+      if (active !== undefined) this.#activeRequests.set(socket, active - 1);
     });
-    if (this.#draining && !this.#closeAfter(socket, response)) return;
-    const cameAt = this.options.eventLoop.estimateArrival(this.#accepted.get(socket));
-    this.#accepted.delete(socket);
-    this.options.serve(request, response, cameAt);
+    if (this.#isDraining && !this.#setClosingResponse(socket, response)) return;
+    const estimatedArrivalAt = this.options.eventLoop.estimateArrival(
+      this.#acceptMarks.get(socket),
+    );
+    this.#acceptMarks.delete(socket);
+    this.options.serve(request, response, estimatedArrivalAt);
   }
 
   /**
@@ -199,12 +211,12 @@
    * False when an answer that closes is on its way already: what comes behind it counts as not read, and
    * must not be passed on.
    */
-  #closeAfter(socket: Socket, response: ServerResponse): boolean {
-    const before = this.#closers.get(socket);
-    if (before !== undefined && before.headersSent) return false;
-    if (before !== undefined) before.shouldKeepAlive = true;
+  #setClosingResponse(socket: Socket, response: ServerResponse): boolean {
+    const previous = this.#closingResponses.get(socket);
+    if (previous !== undefined && previous.headersSent) return false;
+    if (previous !== undefined) previous.shouldKeepAlive = true;
     response.shouldKeepAlive = false;
-    this.#closers.set(socket, response);
+    this.#closingResponses.set(socket, response);
     return true;
   }
 }
--- a/src/gateway/requests/forwarding.ts
+++ b/src/gateway/requests/forwarding.ts
@@ -17,12 +17,12 @@
   isStuck,
   findSecondAttemptReason,
 } from '../../balance/index.js';
-import { type Told, writeAnswer, writeTold } from './answers.js';
+import { type LocalAnswer, forwardAnswer, writeLocalAnswer } from './answers.js';
 import {
   type AttemptOutcome,
-  SERVER_ERROR,
+  MIN_FAILURE_STATUS,
   type RunningAttempt,
-  type Sending,
+  type OutgoingRequest,
   type TargetAnswer,
   startTargetAttempt,
 } from './attempt.js';
@@ -44,9 +44,9 @@
   readonly route: Route;
   readonly service: TargetService;
   /** When its head was read, on the kernel's clock. */
-  readonly arrivedAt: number;
+  readonly headReadAt: number;
   /** When it is estimated to have come, on the same clock. */
-  readonly cameAt: number;
+  readonly estimatedArrivalAt: number;
   /** When an answer that leaves here stops to be fully useful to the caller. */
   readonly aimAt: number;
   /** When it is given up. */
@@ -55,7 +55,7 @@
   readonly path: string;
   /** What makes another try the same request. */
   readonly identity: RequestIdentity;
-  readonly body: Sending['body'];
+  readonly body: OutgoingRequest['body'];
   /** Length of the body, as far as it is known. */
   readonly bodyBytes: number;
   /** Builds the headers for a target, given the time left. */
@@ -86,41 +86,41 @@
 }
 
 /** What can happen while a request is served. */
-type Happening =
+type ForwardingEvent =
   | { readonly kind: 'ended'; readonly attempt: RunningAttempt; readonly outcome: AttemptOutcome }
-  | { readonly kind: 'placed'; readonly answer: PlacementResult }
+  | { readonly kind: 'placed'; readonly placement: PlacementResult }
   | { readonly kind: 'look' }
   | { readonly kind: 'deadline' }
   | { readonly kind: 'gone' };
 
 /** How often a request that may be repeated looks whether another target would be quicker. */
-const LOOK_PACE = 40;
+const MIN_HEDGE_CHECK_INTERVAL_MS = 40;
 
 /** Where its work takes long, it looks this part of that apart: a tenth later matters to nobody. */
-const LOOK_PART = 0.1;
+const HEDGE_CHECK_FRACTION = 0.1;
 
 /** From this expected slowdown on it is not sure that a target was quick. */
-const SURELY_QUICK = 1.5;
+const MAX_CERTAIN_SLOWDOWN = 1.5;
 
 /** No attempt is begun with less time left than this, in milliseconds. */
-const LEAST_TIME = 5;
+const MIN_ATTEMPT_TIME_MS = 5;
 
 /**
  * When a caller may return whose request a target rejected, though no call waits for one, in milliseconds. Nothing
  * has to end first: others have room, and what it sends anew takes nothing of the fleet's budget for repeats. Later
  * its answer would be late.
  */
-const REJECTED_RETURN = 20;
+const REJECTED_RETRY_AFTER_MS = 20;
 
 /** Statuses that promise a caller that its request did not run; only we may say so, with proof. */
-const PROMISES = new Set([408, 421, 429, 503]);
+const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 
 /** Why a request is ended without a target's answer. */
-type GivingUp = PlacementRefusal | 'timeout' | 'lost' | 'poison';
+type GiveUpReason = PlacementRefusal | 'timeout' | 'lost' | 'poison';
 
 /** Gives back a slot that is not used after all. */
-function giveBack(answer: PlacementResult): void {
-  if (answer.kind === 'target') answer.target.load.finish();
+function releaseSlot(result: PlacementResult): void {
+  if (result.kind === 'target') result.target.load.finish();
 }
 
 /** Serves one request. */
@@ -129,27 +129,27 @@
 
   readonly #log: RequestLog;
 
-  readonly #running = new Set<RunningAttempt>();
+  readonly #runningAttempts = new Set<RunningAttempt>();
 
-  readonly #tried = new Set<GatewayTarget>();
+  readonly #triedTargets = new Set<GatewayTarget>();
 
-  readonly #happenings: Happening[] = [];
+  readonly #events: ForwardingEvent[] = [];
 
   #wake: () => void = () => undefined;
 
-  #sendings = 0;
+  #attemptCount = 0;
 
   #timers: Timer[] = [];
 
-  #isOver = false;
+  #isFinished = false;
 
   /** The call in the service's queue, while it waits there. */
-  #waiting: SlotCall | undefined;
+  #queuedCall: SlotCall | undefined;
 
   /** How carefully the request is placed, when targets have ended under it. */
-  #care: SuspectConstraints | undefined;
+  #suspectConstraints: SuspectConstraints | undefined;
 
-  readonly #onSlow = () => this.#happen({ kind: 'look' });
+  readonly #onTargetSlow = () => this.#pushEvent({ kind: 'look' });
 
   constructor(
     private readonly context: ForwardingContext,
@@ -170,44 +170,44 @@
     const { request } = this;
     request.service.recordCall();
     this.#timers.push(
-      clock.schedule(request.deadline - clock.now(), () => this.#happen({ kind: 'deadline' })),
+      clock.schedule(request.deadline - clock.now(), () => this.#pushEvent({ kind: 'deadline' })),
     );
     try {
-      this.#begin();
-      if (this.#isRepeatable) this.#lookLater();
-      await this.#follow();
+      this.#askForTarget();
+      if (this.#isRepeatable) this.#scheduleHedgeCheck();
+      await this.#handleEvents();
     } finally {
-      this.#isOver = true;
-      for (const happening of this.#happenings) {
-        if (happening.kind === 'placed') giveBack(happening.answer);
+      this.#isFinished = true;
+      for (const event of this.#events) {
+        if (event.kind === 'placed') releaseSlot(event.placement);
       }
       for (const timer of this.#timers) timer.cancel();
-      for (const target of this.#tried) target.slowListeners.delete(this.#onSlow);
-      if (this.#waiting !== undefined) request.service.queue.remove(this.#waiting);
-      for (const attempt of this.#running) attempt.abort();
+      for (const target of this.#triedTargets) target.slowListeners.delete(this.#onTargetSlow);
+      if (this.#queuedCall !== undefined) request.service.queue.remove(this.#queuedCall);
+      for (const attempt of this.#runningAttempts) attempt.abort();
     }
   }
 
   /** Gives the request up, because its caller has left. */
-  leave(): void {
-    for (const attempt of this.#running) attempt.abort();
-    this.#happen({ kind: 'gone' });
+  cancel(): void {
+    for (const attempt of this.#runningAttempts) attempt.abort();
+    this.#pushEvent({ kind: 'gone' });
   }
 
-  async #follow(): Promise<void> {
+  async #handleEvents(): Promise<void> {
     while (!this.response.writableEnded && !this.response.destroyed) {
-      const happening = await this.#nextHappening();
-      switch (happening.kind) {
+      const event = await this.#waitForEvent();
+      switch (event.kind) {
         case 'ended':
-          this.#running.delete(happening.attempt);
+          this.#runningAttempts.delete(event.attempt);
           this.request.service.queue.pump();
-          this.#conclude(happening.attempt, happening.outcome);
+          this.#handleOutcome(event.attempt, event.outcome);
           break;
         case 'placed':
-          this.#place(happening.answer);
+          this.#handlePlacement(event.placement);
           break;
         case 'look':
-          this.#considerHedge();
+          this.#tryHedge();
           break;
         case 'deadline':
           this.#giveUp('timeout');
@@ -216,19 +216,19 @@
           this.context.counts.gone += 1;
           return;
         default:
-          happening satisfies never;
+          event satisfies never;
       }
     }
   }
 
-  #happen(happening: Happening): void {
-    this.#happenings.push(happening);
+  #pushEvent(event: ForwardingEvent): void {
+    this.#events.push(event);
     this.#wake();
   }
 
-  async #nextHappening(): Promise<Happening> {
+  async #waitForEvent(): Promise<ForwardingEvent> {
     for (;;) {
-      const next = this.#happenings.shift();
+      const next = this.#events.shift();
       if (next !== undefined) return next;
       await new Promise<void>((resolve) => {
         this.#wake = resolve;
@@ -237,10 +237,10 @@
   }
 
   /** Asks for a target; the attempt starts when there is one. */
-  #begin(): void {
+  #askForTarget(): void {
     const { request } = this;
     const { clock, routeTime } = this.context;
-    if (!this.#isAllowed()) return;
+    if (!this.#mayBeSent()) return;
     const work = routeTime.readWork();
     const call: SlotCall = {
       priority: request.route.priority,
@@ -249,71 +249,71 @@
       work,
       isWorkKnown: routeTime.isKnown,
       spread: routeTime.readSpread(),
-      mayBeRefused: this.#sendings === 0,
-      tried: this.#tried,
+      mayBeRefused: this.#attemptCount === 0,
+      tried: this.#triedTargets,
       bodyBytes: request.bodyBytes,
       regions: request.route.regions,
-      suspect: this.#care,
+      suspect: this.#suspectConstraints,
     };
-    if (request.deadline - clock.now() < LEAST_TIME) {
+    if (request.deadline - clock.now() < MIN_ATTEMPT_TIME_MS) {
       this.#giveUp('timeout');
       return;
     }
-    const answer = request.service.queue.take(call);
-    if ('kind' in answer) {
-      this.#place(answer);
+    const result = request.service.queue.take(call);
+    if ('kind' in result) {
+      this.#handlePlacement(result);
       return;
     }
-    this.#waiting = call;
-    answer
+    this.#queuedCall = call;
+    result
       .then((placed) => {
-        if (this.#isOver) giveBack(placed);
-        else this.#happen({ kind: 'placed', answer: placed });
+        if (this.#isFinished) releaseSlot(placed);
+        else this.#pushEvent({ kind: 'placed', placement: placed });
       })
       .catch((error: Error) => this.context.log.error('request.broken', { error: error.message }));
   }
 
   /** Whether the request may be sent; one under which targets end is given up. */
-  #isAllowed(): boolean {
-    const verdict = this.context.poison.judge(this.request);
-    switch (verdict.kind) {
+  #mayBeSent(): boolean {
+    const decision = this.context.poison.check(this.request);
+    switch (decision.kind) {
       case 'clear':
-        this.#care = undefined;
+        this.#suspectConstraints = undefined;
         return true;
       case 'suspect':
-        this.#care = verdict;
+        this.#suspectConstraints = decision;
         return true;
       case 'held':
-        this.#giveUp('poison', verdict.wait);
+        this.#giveUp('poison', decision.wait);
         return false;
       default:
-        return verdict satisfies never;
+        return decision satisfies never;
     }
   }
 
   /** Starts an attempt at the target that was given, or tells the caller that there is none. */
-  #place(answer: PlacementResult): void {
-    this.#waiting = undefined;
-    const left = this.request.deadline - this.context.clock.now();
-    if (answer.kind === 'refused') {
-      this.#giveUp(answer.reason, answer.wait);
+  #handlePlacement(result: PlacementResult): void {
+    this.#queuedCall = undefined;
+    const timeLeft = this.request.deadline - this.context.clock.now();
+    if (result.kind === 'refused') {
+      this.#giveUp(result.reason, result.wait);
       return;
     }
-    if (left < LEAST_TIME) {
-      giveBack(answer);
+    if (timeLeft < MIN_ATTEMPT_TIME_MS) {
+      releaseSlot(result);
       this.#giveUp('timeout');
       return;
     }
     // What is known of the request may have changed while it waited.
-    if (this.#isAllowed()) this.#start(answer.target, left);
-    else giveBack(answer);
+    if (this.#mayBeSent()) this.#startAttempt(result.target, timeLeft);
+    else releaseSlot(result);
   }
 
-  #start(target: GatewayTarget, left: number): void {
+  #startAttempt(target: GatewayTarget, timeLeft: number): void {
     const { request } = this;
-    this.#tried.add(target);
-    this.#sendings += 1;
-    this.#log.noteSent();
+    this.#triedTargets.add(target);
+    this.#attemptCount += 1;
+    this.#log.recordAttempt();
     this.#ledger.noteSent();
     if (target.advertisedRate.isLimited) {
       this.context.metrics.count('limited_calls', { service: request.service.name });
@@ -322,69 +322,69 @@
       target,
       {
         ...{ requestId: request.id, method: request.method, path: request.path },
-        headers: request.buildHeaders(target, left),
+        headers: request.buildHeaders(target, timeLeft),
         body: request.body,
       },
       { isRepeatable: this.#isRepeatable, clock: this.context.clock },
     );
-    this.#running.add(attempt);
-    if (this.#care !== undefined) this.#watchSuspect(attempt);
-    if (this.#isRepeatable) target.slowListeners.add(this.#onSlow);
+    this.#runningAttempts.add(attempt);
+    if (this.#suspectConstraints !== undefined) this.#watchSuspect(attempt);
+    if (this.#isRepeatable) target.slowListeners.add(this.#onTargetSlow);
     attempt.done
-      .then((outcome) => this.#happen({ kind: 'ended', attempt, outcome }))
+      .then((outcome) => this.#pushEvent({ kind: 'ended', attempt, outcome }))
       .catch((error: Error) => this.context.log.error('request.broken', { error: error.message }));
   }
 
   /** Keeps copies of a suspect from being sent, and other suspects from its target, while it runs. */
   #watchSuspect({ target, done }: RunningAttempt): void {
     const { poison, log } = this.context;
-    poison.start(this.request, target);
+    poison.recordStart(this.request, target);
     target.suspectCalls += 1;
     const finish = () => {
       target.suspectCalls -= 1;
-      poison.finish(this.request);
+      poison.recordFinish(this.request);
     };
     done
       .then(finish)
       .catch((error: Error) => log.error('request.broken', { error: error.message }));
   }
 
-  #conclude(attempt: RunningAttempt, outcome: AttemptOutcome): void {
+  #handleOutcome(attempt: RunningAttempt, outcome: AttemptOutcome): void {
     const { target } = attempt;
     switch (outcome.kind) {
       case 'answered':
-        this.#takeAnswer(attempt, outcome.answer);
+        this.#handleAnswer(attempt, outcome.answer);
         return;
       case 'not-connected':
         this.#ledger.noteNotRun();
-        this.#sendings -= 1;
+        this.#attemptCount -= 1;
         target.recordFailure();
-        this.#log.tellFailure(attempt, outcome.kind, outcome.reason);
-        if (this.#running.size === 0) this.#begin();
+        this.#log.logFailure(attempt, outcome.kind, outcome.reason);
+        if (this.#runningAttempts.size === 0) this.#askForTarget();
         return;
       case 'withdrawn':
         this.#ledger.noteNotRun();
-        this.#sendings -= 1;
+        this.#attemptCount -= 1;
         this.context.metrics.count('calls_withdrawn', { service: this.request.service.name });
-        if (this.#running.size === 0) this.#begin();
+        if (this.#runningAttempts.size === 0) this.#askForTarget();
         return;
       case 'not-run':
         this.#ledger.noteNotRun();
         target.recordFailure();
-        this.#log.tellFailure(attempt, outcome.kind, outcome.cause);
-        this.#repeat('no-room');
+        this.#log.logFailure(attempt, outcome.kind, outcome.cause);
+        this.#tryAgain('no-room');
         return;
       case 'lost':
         target.recordFailure();
-        this.#log.tellFailure(attempt, outcome.kind, outcome.reason, {
-          ended: outcome.isEnded,
-          names: this.request.identity.fingerprints,
+        this.#log.logFailure(attempt, outcome.kind, outcome.reason, {
+          ended: outcome.hasTargetEnded,
+          fingerprints: this.request.identity.fingerprints,
         });
-        this.#noteLost(attempt, outcome.isEnded);
-        this.#repeat('lost');
+        this.#recordLoss(attempt, outcome.hasTargetEnded);
+        this.#tryAgain('lost');
         return;
       case 'cancelled':
-        if (!outcome.sent) this.#ledger.noteNotRun();
+        if (!outcome.isSent) this.#ledger.noteNotRun();
         return;
       default:
         outcome satisfies never;
@@ -392,60 +392,60 @@
   }
 
   /** Notes that a target ended under the request, or that this may still turn out. */
-  #noteLost({ target, startedAt }: RunningAttempt, isEnded: boolean): void {
+  #recordLoss({ target, startedAt }: RunningAttempt, hasTargetEnded: boolean): void {
     const { poison, clock } = this.context;
     const { id, route, service, path, identity } = this.request;
     // What is kept for a while holds no body.
-    const lost = { id, route, service, path, names: identity.fingerprints };
+    const lost = { id, route, service, path, fingerprints: identity.fingerprints };
     const times = { startedAt, lostAt: clock.now() };
-    if (isEnded) poison.noteEnd(lost, target, times);
-    else target.recordLoss(() => poison.noteEnd(lost, target, times));
+    if (hasTargetEnded) poison.recordTargetEnd(lost, target, times);
+    else target.recordLoss(() => poison.recordTargetEnd(lost, target, times));
   }
 
-  #takeAnswer(attempt: RunningAttempt, answer: TargetAnswer): void {
+  #handleAnswer(attempt: RunningAttempt, answer: TargetAnswer): void {
     const { target } = attempt;
-    const isFailure = answer.status >= SERVER_ERROR;
+    const isFailure = answer.status >= MIN_FAILURE_STATUS;
     // A target that fails what it gets may have answered before it began.
-    if (!isFailure && answer.rest === undefined) this.context.poison.noteAnswer(this.request);
+    if (!isFailure && answer.rest === undefined) this.context.poison.recordAnswer(this.request);
     if (isFailure) {
       target.recordFailure();
-      this.#log.tellFailure(attempt, 'failed', `status ${answer.status}`);
-      if (this.#isRepeatable && this.#running.size > 0) return;
-      if (this.#isRepeatable && this.#mayRepeat()) {
+      this.#log.logFailure(attempt, 'failed', `status ${answer.status}`);
+      if (this.#isRepeatable && this.#runningAttempts.size > 0) return;
+      if (this.#isRepeatable && this.#spendRetry()) {
         this.context.counts.retries += 1;
-        this.#begin();
+        this.#askForTarget();
         return;
       }
     } else {
       target.recordSuccess();
-      this.#learnTime(attempt);
+      this.#learnCallTime(attempt);
     }
-    if (PROMISES.has(answer.status) || !answer.isSigned) {
-      this.#tell({ kind: 'unknown', reason: 'lost' });
+    if (NOT_RUN_STATUSES.has(answer.status) || !answer.isSigned) {
+      this.#sendLocalAnswer({ kind: 'unknown', reason: 'lost' });
       return;
     }
     if (isFailure) this.context.counts.failed += 1;
     else this.context.counts.answered += 1;
-    this.#log.tellAnswer(attempt, this.context.routeTime.readWork());
-    writeAnswer(this.response, answer);
+    this.#log.logAnswer(attempt, this.context.routeTime.readWork());
+    forwardAnswer(this.response, answer);
   }
 
   /** Learns the route's work, and how much longer it takes at a target that is nearly full. */
-  #learnTime(attempt: RunningAttempt): void {
+  #learnCallTime(attempt: RunningAttempt): void {
     const { clock, routeTime } = this.context;
     const { service } = this.request;
     const now = clock.now();
-    const { load: belief, record, slowdownHistory: trail } = attempt.target;
+    const { load, record, slowdownHistory } = attempt.target;
     const pattern = service.readPattern();
-    const slowdown = trail.estimate(attempt.startedAt, pattern);
+    const slowdown = slowdownHistory.estimate(attempt.startedAt, pattern);
     const time = now - attempt.startedAt;
-    const usual = routeTime.readWork();
+    const expectedWork = routeTime.readWork();
     // How slow it was at the start is not sure otherwise, and a slow call would count for more work.
-    if (slowdown > SURELY_QUICK) return;
-    routeTime.recordRatio(time / (usual * slowdown));
-    const running = (belief.lastReport?.running ?? belief.inFlight) + 1;
+    if (slowdown > MAX_CERTAIN_SLOWDOWN) return;
+    routeTime.recordRatio(time / (expectedWork * slowdown));
+    const running = (load.lastReport?.running ?? load.inFlight) + 1;
     const factor = service.knee.observe(
-      time / slowdown / usual,
+      time / slowdown / expectedWork,
       [attempt.callsAtStart / record.slots, running / record.slots],
       now,
     );
@@ -455,98 +455,105 @@
   }
 
   /** Sends the request once more, after an attempt that brought nothing. */
-  #repeat(reason: 'no-room' | 'lost'): void {
-    if (this.#running.size > 0) return;
+  #tryAgain(reason: 'no-room' | 'lost'): void {
+    if (this.#runningAttempts.size > 0) return;
     const isAllowed = this.#isRepeatable || !this.#ledger.mayHaveRun;
-    if (isAllowed && this.#mayRepeat()) {
+    if (isAllowed && this.#spendRetry()) {
       this.context.counts.retries += 1;
-      this.#begin();
+      this.#askForTarget();
       return;
     }
     this.#giveUp(reason);
   }
 
   /** Whether one more target may get the request: the route's attempts, and the fleet's budget. */
-  #mayRepeat(): boolean {
+  #spendRetry(): boolean {
     const { route, service, body } = this.request;
-    if (this.#sendings >= route.maxAttempts) return false;
+    if (this.#attemptCount >= route.maxAttempts) return false;
     if (body !== undefined && !Buffer.isBuffer(body)) return false;
     return service.retryBudget.spend();
   }
 
-  #lookLater(): void {
+  #scheduleHedgeCheck(): void {
     const { clock, routeTime } = this.context;
     this.#timers.push(
-      clock.schedule(Math.max(LOOK_PACE, LOOK_PART * routeTime.readWork()), () => {
-        this.#happen({ kind: 'look' });
-        this.#lookLater();
-      }),
+      clock.schedule(
+        Math.max(MIN_HEDGE_CHECK_INTERVAL_MS, HEDGE_CHECK_FRACTION * routeTime.readWork()),
+        () => {
+          this.#pushEvent({ kind: 'look' });
+          this.#scheduleHedgeCheck();
+        },
+      ),
     );
     if (this.#timers.length > 2) this.#timers = [this.#timers[0], ...this.#timers.slice(-1)];
   }
 
   /** Begins a second attempt when the first is expected to be late and the second not to be. */
-  #considerHedge(): void {
+  #tryHedge(): void {
     const { clock, routeTime } = this.context;
     const { route, service, aimAt, deadline, bodyBytes } = this.request;
-    const [attempt] = this.#running;
-    if (this.#running.size !== 1 || attempt === undefined) return;
-    if (this.#sendings >= route.maxAttempts || this.#care !== undefined) return;
+    const [attempt] = this.#runningAttempts;
+    if (this.#runningAttempts.size !== 1 || attempt === undefined) return;
+    if (this.#attemptCount >= route.maxAttempts || this.#suspectConstraints !== undefined) return;
     const now = clock.now();
-    const { slowdownHistory: trail } = attempt.target;
+    const { slowdownHistory } = attempt.target;
     const pattern = service.readPattern();
     const work = routeTime.readWork();
     const first: FirstAttempt = {
       ...{ work, elapsed: now - attempt.startedAt },
-      ...{ slowdown: trail.estimate(attempt.startedAt, pattern), slow: pattern.slow },
+      ...{ slowdown: slowdownHistory.estimate(attempt.startedAt, pattern), slow: pattern.slow },
       spread: routeTime.readSpread(),
     };
     if (isStuck(first)) attempt.target.recordStuckCall();
     const times = { untilAim: aimAt - now, untilDeadline: deadline - now };
-    const need = findSecondAttemptReason(first, times);
-    if (need === 'none') return;
+    const hedgeReason = findSecondAttemptReason(first, times);
+    if (hedgeReason === 'none') return;
     // A second attempt takes a slot. While others wait for one it is worth it only if it frees one
     // that would be held for long.
-    if (service.queue.size > 0 && need !== 'rescue') return;
-    const advice = service.chooseTarget(
-      { tried: this.#tried, work, bodyBytes, regions: route.regions },
+    if (service.queue.size > 0 && hedgeReason !== 'rescue') return;
+    const choice = service.chooseTarget(
+      { tried: this.#triedTargets, work, bodyBytes, regions: route.regions },
       0,
     );
-    if (advice.kind !== 'now') return;
-    const { candidate: target, load: prospect } = advice;
-    if (!isQuicker(first, prospect.slowdown, times)) return;
-    if (!this.#mayRepeat()) return;
+    if (choice.kind !== 'now') return;
+    const { candidate: target, load: targetLoad } = choice;
+    if (!isQuicker(first, targetLoad.slowdown, times)) return;
+    if (!this.#spendRetry()) return;
     this.context.counts.hedges += 1;
     target.start(now);
-    this.#start(target, deadline - now);
+    this.#startAttempt(target, deadline - now);
   }
 
   /** Ends the request without a target's answer. */
-  #giveUp(reason: GivingUp, wait = 0): void {
-    for (const attempt of this.#running) attempt.abort();
+  #giveUp(reason: GiveUpReason, wait = 0): void {
+    for (const attempt of this.#runningAttempts) attempt.abort();
     if (!this.#ledger.mayHaveRun) {
       this.#ledger.assertNotRun();
-      this.#tell({ kind: 'not-run', reason, retryAfter: wait > 0 ? wait : this.#chooseReturn() });
+      this.#sendLocalAnswer({
+        kind: 'not-run',
+        reason,
+        retryAfter: wait > 0 ? wait : this.#chooseRetryAfter(),
+      });
       return;
     }
-    this.#tell({ kind: 'unknown', reason: reason === 'timeout' ? 'timeout' : 'lost' });
+    this.#sendLocalAnswer({ kind: 'unknown', reason: reason === 'timeout' ? 'timeout' : 'lost' });
   }
 
   /** When a caller may return whom the queue gave no time for that. */
-  #chooseReturn(): number {
+  #chooseRetryAfter(): number {
     const { service } = this.request;
     const backoff = service.readBackoffRemaining();
     if (backoff !== undefined) return backoff;
-    const isRejected = this.#sendings > 0 && service.queue.size === 0;
+    const isRejected = this.#attemptCount > 0 && service.queue.size === 0;
     // Within the time of one call some target will have ended one.
-    return isRejected ? REJECTED_RETURN : this.context.routeTime.readWork();
+    return isRejected ? REJECTED_RETRY_AFTER_MS : this.context.routeTime.readWork();
   }
 
-  #tell(told: Told): void {
+  #sendLocalAnswer(answer: LocalAnswer): void {
     const { counts } = this.context;
-    if (told.kind === 'not-run') counts.notRun += 1;
+    if (answer.kind === 'not-run') counts.notRun += 1;
     else counts.unknown += 1;
-    this.#log.tellOwnAnswer(told);
-    writeTold(this.response, this.request.id, told);
+    this.#log.logLocalAnswer(answer);
+    writeLocalAnswer(this.response, this.request.id, answer);
   }
 }
--- a/src/gateway/requests/latency-budget.ts
+++ b/src/gateway/requests/latency-budget.ts
@@ -13,98 +13,100 @@
 import type { Route } from '../../routing/index.js';
 
 /** The way of a request and its answer, in milliseconds: callers are about 8 ms away. */
-const WAY = 16;
+const ROUND_TRIP_MS = 16;
 
 /** A stated time counts as what callers have at first once this many stated as much. */
-const LEAST_STATEMENTS = 3;
+const MIN_STATED_COUNT = 3;
 
 /** What nobody has stated for two such periods is forgotten, in milliseconds. */
-const PERIOD = 30_000;
+const PERIOD_MS = 30_000;
 
 /** Stated times of late from which it is learnt how far those of first tries lie apart. */
-const SAMPLES = 64;
+const MAX_SAMPLES = 64;
 
 /** It is worked out anew after this many, and from so many on. */
-const REFRESH = 16;
+const SPREAD_UPDATE_COUNT = 16;
 
 /**
  * Callers that return state less than all first tries do, and may be many: so only the upper quarter is looked at, and
  * the spread taken for four times what separates it from the longest.
  */
-const UPPER_PART = 0.25;
+const UPPER_FRACTION = 0.25;
 
 /** The longest times that callers of one route stated in a period, longest first. */
-type Longest = readonly number[];
+type LongestTimes = readonly number[];
 
 /** What is known of the callers of one route. */
-class RouteCallers {
-  #current: Longest = [];
+class StatedTimes {
+  #current: LongestTimes = [];
 
-  #previous: Longest = [];
+  #previous: LongestTimes = [];
 
-  #since = -Infinity;
+  #periodStart = -Infinity;
 
   readonly #samples: number[] = [];
 
-  #noted = 0;
+  #recordedCount = 0;
 
   #spread = 0;
 
-  note(stated: number, now: number): void {
-    if (now - this.#since >= PERIOD) {
+  record(statedTime: number, now: number): void {
+    if (now - this.#periodStart >= PERIOD_MS) {
       this.#previous = this.#current;
       this.#current = [];
-      this.#since = now;
+      this.#periodStart = now;
     }
-    const [, , least = 0] = this.#current;
-    if (stated > least) {
-      this.#current = [...this.#current, stated].sort((a, b) => b - a).slice(0, LEAST_STATEMENTS);
+    const [, , lowest = 0] = this.#current;
+    if (statedTime > lowest) {
+      this.#current = [...this.#current, statedTime]
+        .sort((a, b) => b - a)
+        .slice(0, MIN_STATED_COUNT);
     }
-    this.#samples[this.#noted % SAMPLES] = stated;
-    this.#noted += 1;
-    if (this.#noted % REFRESH === 0) this.#spread = this.#measureSpread();
+    this.#samples[this.#recordedCount % MAX_SAMPLES] = statedTime;
+    this.#recordedCount += 1;
+    if (this.#recordedCount % SPREAD_UPDATE_COUNT === 0) this.#spread = this.#estimateSpread();
   }
 
   /** The time that the least patient callers have at first. */
-  readFull(): number {
-    return this.#readLongest() - this.#spread;
+  estimateShortest(): number {
+    return this.#estimateLongest() - this.#spread;
   }
 
   /** How far the times of first tries lie apart. */
-  #measureSpread(): number {
+  #estimateSpread(): number {
     const sorted = [...this.#samples].sort((a, b) => b - a);
-    const upper = sorted[Math.floor(sorted.length * UPPER_PART)];
-    return Math.max(0, (this.#readLongest() - upper) / UPPER_PART);
+    const upperQuartile = sorted[Math.floor(sorted.length * UPPER_FRACTION)];
+    return Math.max(0, (this.#estimateLongest() - upperQuartile) / UPPER_FRACTION);
   }
 
   /** The longest time that callers have at first; a single odd one does not make the others late. */
-  #readLongest(): number {
-    const known = Math.max(this.#current[LEAST_STATEMENTS - 1] ?? 0, this.#previous.at(-1) ?? 0);
+  #estimateLongest(): number {
+    const known = Math.max(this.#current[MIN_STATED_COUNT - 1] ?? 0, this.#previous.at(-1) ?? 0);
     return known > 0 ? known : (this.#current[0] ?? 0);
   }
 }
 
 /** The time that callers have, by route. */
 export class LatencyBudgets {
-  readonly #routes = new Map<string, RouteCallers>();
+  readonly #routes = new Map<string, StatedTimes>();
 
   /**
    * Returns for how long an answer that leaves here is fully useful, in milliseconds; below 0 when it
    * is late already.
    */
   read(route: Route, timeLeft: number, now: number): number {
-    const full = route.targetLatency - WAY;
-    if (!Number.isFinite(timeLeft) || timeLeft <= 0) return full;
-    const callers = this.#find(route.name);
-    callers.note(timeLeft, now);
-    return full - Math.max(0, callers.readFull() - timeLeft);
+    const fullBudget = route.targetLatency - ROUND_TRIP_MS;
+    if (!Number.isFinite(timeLeft) || timeLeft <= 0) return fullBudget;
+    const statedTimes = this.#find(route.name);
+    statedTimes.record(timeLeft, now);
+    return fullBudget - Math.max(0, statedTimes.estimateShortest() - timeLeft);
   }
 
-  #find(name: string): RouteCallers {
+  #find(name: string): StatedTimes {
     const known = this.#routes.get(name);
     if (known !== undefined) return known;
-    const callers = new RouteCallers();
-    this.#routes.set(name, callers);
-    return callers;
+    const statedTimes = new StatedTimes();
+    this.#routes.set(name, statedTimes);
+    return statedTimes;
   }
 }
--- a/src/gateway/requests/poison-registry.ts
+++ b/src/gateway/requests/poison-registry.ts
@@ -27,11 +27,11 @@
   /** Whether it falls to this daemon to try requests that are held out: one daemon does, so one target ends. */
   readonly mayRunTrials: () => boolean;
   /** Tells the homes. */
-  readonly send: (words: readonly PoisonReport[]) => void;
+  readonly send: (reports: readonly PoisonReport[]) => void;
 }
 
 /** A request that this desk looks at. */
-export interface WatchedRequest {
+export interface IdentifiedRequest {
   readonly id: string;
   readonly service: TargetService;
   readonly identity: RequestIdentity;
@@ -44,7 +44,7 @@
   readonly service: TargetService;
   readonly path: string;
   /** What it is known by, the narrowest first. */
-  readonly names: readonly string[];
+  readonly fingerprints: readonly string[];
 }
 
 /** When an attempt was lost, on the kernel's clock. */
@@ -54,56 +54,56 @@
 }
 
 /** News are told again with every answer for this long: some questions of each daemon, as datagrams get lost. */
-const FRESH_TIME = 1500;
+const ANNOUNCE_TIME_MS = 1500;
 
 /** Words in one answer, of some 80 bytes each, so that it stays below what a network carries in one piece. */
-const MOST_HELD_TOLD = 4;
-const MOST_FRESH_TOLD = 6;
+const MAX_HELD_PER_REPLY = 4;
+const MAX_CHANGED_PER_REPLY = 6;
 
 /** Words in one message of their own. */
-const MOST_TOLD = 12;
+const MAX_REPORTS_PER_MESSAGE = 12;
 
 /** What comes within this time goes in one message: a target that ends takes several requests with it. */
-const GATHER_TIME = 2;
+const BATCH_DELAY_MS = 2;
 
 /** Requests in the store's record. */
-const MOST_STORED = 64;
+const MAX_STORED_CASES = 64;
 
 /** The desk of one daemon. */
 export class PoisonRegistry {
   readonly #record = new PoisonRecord();
 
   /** Until when a request is told of with every answer. */
-  readonly #fresh = new Map<string, number>();
+  readonly #announceUntil = new Map<string, number>();
 
   /** What the homes are about to be told. */
-  readonly #news = new Set<string>();
+  readonly #unsent = new Set<string>();
 
   /** Where the next answer goes on to name those that are held out. */
-  #turn = 0;
+  #nextHeld = 0;
 
   constructor(private readonly options: PoisonRegistryOptions) {}
 
   /** Says what may be done with a request that is to be sent. */
-  judge(request: WatchedRequest): PoisonDecision {
-    if (!this.#mayKnow(request)) return { kind: 'clear' };
-    const terms = this.#readTerms(request.service);
+  check(request: IdentifiedRequest): PoisonDecision {
+    if (!this.#mayHaveCase(request)) return { kind: 'clear' };
+    const context = this.#createContext(request.service);
     return request.identity.fingerprints
-      .map((name) => this.#record.judge(name, terms))
-      .reduce(joinVerdicts);
+      .map((fingerprint) => this.#record.judge(fingerprint, context))
+      .reduce(joinDecisions);
   }
 
   /** Notes that a suspect is sent to a target. */
-  start({ id, identity }: WatchedRequest, target: GatewayTarget): void {
-    for (const name of identity.fingerprints) this.#record.start(name);
+  recordStart({ id, identity }: IdentifiedRequest, target: GatewayTarget): void {
+    for (const fingerprint of identity.fingerprints) this.#record.start(fingerprint);
     const { incarnation, release } = target.record;
     const [request] = identity.fingerprints;
     this.options.log.info('poison.tried', { id, request, target: incarnation, release });
   }
 
   /** Notes that what was sent of a suspect has come to an end. */
-  finish({ identity }: WatchedRequest): void {
-    for (const name of identity.fingerprints) this.#record.finish(name);
+  recordFinish({ identity }: IdentifiedRequest): void {
+    for (const fingerprint of identity.fingerprints) this.#record.finish(fingerprint);
   }
 
   /**
@@ -113,53 +113,57 @@
    * and only a request that was sent after the last end tells anything new of it: of a path that is asked for all
    * the time every target that a failure takes at one moment runs some request.
    */
-  noteEnd(request: LostRequest, target: GatewayTarget, { startedAt, lostAt }: LossTimes): void {
+  recordTargetEnd(
+    request: LostRequest,
+    target: GatewayTarget,
+    { startedAt, lostAt }: LossTimes,
+  ): void {
     const { log, metrics } = this.options;
-    const { id, route, service, path, names } = request;
+    const { id, route, service, path, fingerprints } = request;
     const { record, hash } = target;
     const end = { target: hash, release: readRelease(record) };
     const blamed: PoisonCase[] = [];
-    for (const [width, name] of names.entries()) {
-      const before = this.#record.findBlamed(name);
-      if (width > 0 && before !== undefined && startedAt <= before.changedAt) break;
+    for (const [width, fingerprint] of fingerprints.entries()) {
+      const previous = this.#record.findBlamed(fingerprint);
+      if (width > 0 && previous !== undefined && startedAt <= previous.changedAt) break;
       // What was answered since then is not blamed, however late the end is found out.
-      blamed.push(this.#record.recordTargetEnd(name, end, lostAt));
-      if (before !== undefined) break;
+      blamed.push(this.#record.recordTargetEnd(fingerprint, end, lostAt));
+      if (previous !== undefined) break;
     }
-    for (const known of blamed) this.#tell(known);
-    const most = Math.max(...blamed.map(({ ended }) => ended.length));
+    for (const poisonCase of blamed) this.#announce(poisonCase);
+    const maxEnded = Math.max(...blamed.map(({ ended }) => ended.length));
     metrics.count('target_ended_under', { service: service.name });
-    const tell = most > 1 ? log.warn : log.info;
-    tell('poison.suspected', {
+    const writeLine = maxEnded > 1 ? log.warn : log.info;
+    writeLine('poison.suspected', {
       ...{ id, route: route.name, service: service.name, path },
-      ...{ request: names[0], alike: names.at(-1) },
+      ...{ request: fingerprints[0], alike: fingerprints.at(-1) },
       ...{ target: record.incarnation, born: record.born, release: record.release },
-      ...{ ran: Math.round(lostAt - startedAt), ended: most },
+      ...{ ran: Math.round(lostAt - startedAt), ended: maxEnded },
     });
   }
 
   /** Notes that a target ran a request to its end. */
-  noteAnswer(request: WatchedRequest): void {
-    if (!this.#mayKnow(request)) return;
+  recordAnswer(request: IdentifiedRequest): void {
+    if (!this.#mayHaveCase(request)) return;
     const { clock, log } = this.options;
-    for (const name of request.identity.fingerprints) {
-      const cleared = this.#record.recordAnswer(name, clock.now());
+    for (const fingerprint of request.identity.fingerprints) {
+      const cleared = this.#record.recordAnswer(fingerprint, clock.now());
       if (cleared === undefined) continue;
-      log.info('poison.cleared', { id: request.id, request: name });
-      this.#tell(cleared);
+      log.info('poison.cleared', { id: request.id, request: fingerprint });
+      this.#announce(cleared);
     }
   }
 
   /** Takes what another daemon tells. */
-  receive(from: string, words: readonly PoisonReport[]): void {
+  receive(from: string, reports: readonly PoisonReport[]): void {
     const { clock, log } = this.options;
     const now = clock.now();
-    for (const { request, ended, releases, age } of words) {
-      const heard = this.#record.receive({ request, ended, releases, changedAt: now - age }, now);
+    for (const { request, ended, releases, age } of reports) {
+      const outcome = this.#record.receive({ request, ended, releases, changedAt: now - age }, now);
       // Who does not know that it was answered learns it with the next answers.
-      if (heard === 'outdated') this.#fresh.set(request, now + FRESH_TIME);
-      if (heard !== 'news') continue;
-      this.#fresh.set(request, now + FRESH_TIME);
+      if (outcome === 'outdated') this.#announceUntil.set(request, now + ANNOUNCE_TIME_MS);
+      if (outcome !== 'news') continue;
+      this.#announceUntil.set(request, now + ANNOUNCE_TIME_MS);
       log.info('poison.heard', { from, request, ended: ended.length, age: Math.round(age) });
     }
   }
@@ -168,14 +172,14 @@
   listReports(): readonly PoisonReport[] {
     if (this.#record.isEmpty) return [];
     const now = this.options.clock.now();
-    const told = new Map<string, PoisonCase>();
-    for (const [request, until] of [...this.#fresh].reverse()) {
+    const cases = new Map<string, PoisonCase>();
+    for (const [request, until] of [...this.#announceUntil].reverse()) {
       const known = this.#record.findCase(request);
-      if (known === undefined || until < now) this.#fresh.delete(request);
-      else if (told.size < MOST_FRESH_TOLD) told.set(request, known);
+      if (known === undefined || until < now) this.#announceUntil.delete(request);
+      else if (cases.size < MAX_CHANGED_PER_REPLY) cases.set(request, known);
     }
-    for (const held of this.#takeHeld()) told.set(held.request, held);
-    return [...told.values()].map((known) => describeCase(known, now));
+    for (const held of this.#pickHeld()) cases.set(held.request, held);
+    return [...cases.values()].map((known) => createReport(known, now));
   }
 
   /** Requests that are held out. */
@@ -190,7 +194,7 @@
     const toWall = clock.wall() - clock.now();
     return this.#record
       .listHeldOut()
-      .slice(-MOST_STORED)
+      .slice(-MAX_STORED_CASES)
       .map(({ request, ended, releases, changedAt }) => ({
         ...{ request, ended, releases, at: Math.round(changedAt + toWall) },
       }));
@@ -199,67 +203,67 @@
   /** Takes what the store kept. */
   restore(stored: readonly StoredPoisonRequest[]): void {
     const { clock } = this.options;
-    const words = stored.map(({ request, ended, releases, at }) => ({
+    const reports = stored.map(({ request, ended, releases, at }) => ({
       ...{ request, ended, releases, age: Math.max(0, clock.wall() - at) },
     }));
-    this.receive('store', words);
+    this.receive('store', reports);
   }
 
-  #mayKnow({ identity }: WatchedRequest): boolean {
+  #mayHaveCase({ identity }: IdentifiedRequest): boolean {
     if (this.#record.isEmpty) return false;
-    return identity.headDigests.some((head) => this.#record.mayKnowHead(head));
+    return identity.headDigests.some((headDigest) => this.#record.mayKnowHead(headDigest));
   }
 
-  #readTerms(service: TargetService): PoisonContext {
-    const { clock, mayRunTrials: isTrier } = this.options;
+  #createContext(service: TargetService): PoisonContext {
+    const { clock, mayRunTrials } = this.options;
     const { targets } = service;
     const releases = new Set<string>();
     for (const { record, isUsable } of targets.values()) {
       if (isUsable) releases.add(readRelease(record));
     }
-    return { now: clock.now(), targets: targets.size, releases, mayRunTrials: isTrier() };
+    return { now: clock.now(), targets: targets.size, releases, mayRunTrials: mayRunTrials() };
   }
 
-  #tell({ request }: PoisonCase): void {
+  #announce({ request }: PoisonCase): void {
     const { clock } = this.options;
-    this.#fresh.delete(request);
-    this.#fresh.set(request, clock.now() + FRESH_TIME);
-    if (this.#news.size === 0) clock.schedule(GATHER_TIME, () => this.#sendNews());
-    this.#news.add(request);
+    this.#announceUntil.delete(request);
+    this.#announceUntil.set(request, clock.now() + ANNOUNCE_TIME_MS);
+    if (this.#unsent.size === 0) clock.schedule(BATCH_DELAY_MS, () => this.#sendReports());
+    this.#unsent.add(request);
   }
 
-  #sendNews(): void {
+  #sendReports(): void {
     const now = this.options.clock.now();
-    const words: PoisonReport[] = [];
-    for (const request of this.#news) {
+    const reports: PoisonReport[] = [];
+    for (const request of this.#unsent) {
       const known = this.#record.findCase(request);
-      if (known !== undefined) words.push(describeCase(known, now));
+      if (known !== undefined) reports.push(createReport(known, now));
     }
-    this.#news.clear();
-    for (let at = 0; at < words.length; at += MOST_TOLD) {
-      this.options.send(words.slice(at, at + MOST_TOLD));
+    this.#unsent.clear();
+    for (let at = 0; at < reports.length; at += MAX_REPORTS_PER_MESSAGE) {
+      this.options.send(reports.slice(at, at + MAX_REPORTS_PER_MESSAGE));
     }
   }
 
   /** Some of those that are held out, in turn. */
-  #takeHeld(): readonly PoisonCase[] {
+  #pickHeld(): readonly PoisonCase[] {
     const held = this.#record.listHeldOut();
-    if (held.length <= MOST_HELD_TOLD) return held;
-    const start = this.#turn % held.length;
-    this.#turn = start + MOST_HELD_TOLD;
-    return [...held, ...held].slice(start, start + MOST_HELD_TOLD);
+    if (held.length <= MAX_HELD_PER_REPLY) return held;
+    const start = this.#nextHeld % held.length;
+    this.#nextHeld = start + MAX_HELD_PER_REPLY;
+    return [...held, ...held].slice(start, start + MAX_HELD_PER_REPLY);
   }
 }
 
 /** What holds for a request by one name holds for it by any. */
-function joinVerdicts(a: PoisonDecision, b: PoisonDecision): PoisonDecision {
+function joinDecisions(a: PoisonDecision, b: PoisonDecision): PoisonDecision {
   if (a.kind === 'held' && b.kind === 'held') return a.wait > b.wait ? a : b;
   if (a.kind === 'held' || b.kind === 'clear') return a;
   if (b.kind === 'held' || a.kind === 'clear') return b;
   return { kind: 'suspect', avoidedReleases: [...a.avoidedReleases, ...b.avoidedReleases] };
 }
 
-function describeCase(
+function createReport(
   { request, ended, releases, changedAt }: PoisonCase,
   now: number,
 ): PoisonReport {
--- a/src/gateway/requests/request-handler.ts
+++ b/src/gateway/requests/request-handler.ts
@@ -4,10 +4,10 @@
 import { RouteTime } from '../../balance/index.js';
 import { HEADERS, readHeader } from '../../platform/index.js';
 import { type Route, type RouteTable, TrafficSplitter } from '../../routing/index.js';
-import { type Told, writeTold } from './answers.js';
+import { type LocalAnswer, writeLocalAnswer } from './answers.js';
 import { Backlog, type BacklogOptions } from './backlog.js';
 import { LatencyBudgets } from './latency-budget.js';
-import { isCallerGone, watchLeaving } from './caller-disconnect.js';
+import { hasCallerLeft, watchDisconnect } from './caller-disconnect.js';
 import {
   Forwarding,
   type ForwardingContext,
@@ -16,7 +16,7 @@
 } from './forwarding.js';
 import {
   type BodyResult,
-  buildPassedHeaders,
+  buildCommonHeaders,
   buildTargetHeaders,
   checkRequest,
   readBody,
@@ -43,16 +43,16 @@
 }
 
 /** When a caller may come back to a daemon that knows no configuration yet. */
-const STARTING_RETRY = 300;
+const STARTING_RETRY_AFTER_MS = 300;
 
 /** When a caller that was told to go elsewhere may do so. */
-const STOPPING_RETRY = 20;
+const STOPPING_RETRY_AFTER_MS = 20;
 
 /** A request whose caller and route name no time is held this long at most. */
-const LONGEST_HOLD = 60_000;
+const MAX_HOLD_MS = 60_000;
 
 /** A request that found its route and service. */
-interface Admitted {
+interface AdmittedRequest {
   readonly kind: 'admitted';
   readonly table: RouteTable;
   readonly route: Route;
@@ -60,22 +60,25 @@
 }
 
 /** A request that is answered without looking for a target. */
-interface TurnedAway {
+interface RejectedRequest {
   readonly kind: 'turned-away';
-  readonly told: Told;
+  readonly answer: LocalAnswer;
   /** Whether its connection may carry another one. */
   readonly keepsConnection: boolean;
 }
 
 /** What is known of a request's times when it was read. */
-type RequestTimes = Pick<RoutedRequest, 'id' | 'arrivedAt' | 'cameAt' | 'aimAt' | 'deadline'>;
+type RequestTimes = Pick<
+  RoutedRequest,
+  'id' | 'headReadAt' | 'estimatedArrivalAt' | 'aimAt' | 'deadline'
+>;
 
-type TimedRequest = Admitted & RequestTimes;
+type TimedRequest = AdmittedRequest & RequestTimes;
 
-type WholeBody = Extract<BodyResult, { readonly kind: 'whole' | 'stream' }>;
+type AcceptedBody = Extract<BodyResult, { readonly kind: 'whole' | 'stream' }>;
 
-function makeTurnedAway(told: Told, keepsConnection: boolean): TurnedAway {
-  return { kind: 'turned-away', told, keepsConnection };
+function createRejected(answer: LocalAnswer, keepsConnection: boolean): RejectedRequest {
+  return { kind: 'turned-away', answer, keepsConnection };
 }
 
 /** Returns the length that a request states; undefined when it comes in chunks. */
@@ -91,34 +94,34 @@
     ...{ answered: 0, failed: 0, notRun: 0, unknown: 0, gone: 0, retries: 0, hedges: 0 },
   };
 
-  readonly #dealer: TrafficSplitter;
+  readonly #splitter: TrafficSplitter;
 
   readonly #backlog: Backlog;
 
-  readonly #aims = new LatencyBudgets();
+  readonly #latencyBudgets = new LatencyBudgets();
 
   readonly #routeTimes = new Map<string, RouteTime>();
 
-  #lessons: LearnedState['routes'] = {};
+  #learnedRoutes: LearnedState['routes'] = {};
 
-  #isClosed = false;
+  #isStopping = false;
 
   constructor(private readonly options: RequestHandlerOptions) {
-    this.#dealer = new TrafficSplitter(() => options.random.next());
+    this.#splitter = new TrafficSplitter(() => options.random.next());
     this.#backlog = new Backlog(options);
   }
 
   /** From now on requests are told to go elsewhere, because this daemon stops. */
   close(): void {
-    this.#isClosed = true;
+    this.#isStopping = true;
   }
 
   /** Takes what others have learnt of routes. */
-  restoreLearnedState(lessons: LearnedState['routes']): void {
-    this.#lessons = lessons;
+  restoreLearnedState(learnedRoutes: LearnedState['routes']): void {
+    this.#learnedRoutes = learnedRoutes;
     for (const [name, routeTime] of this.#routeTimes) {
-      const lesson = lessons[name];
-      if (lesson !== undefined) routeTime.setPrior(lesson);
+      const learned = learnedRoutes[name];
+      if (learned !== undefined) routeTime.setPrior(learned);
     }
   }
 
@@ -129,35 +132,40 @@
 
   /** What has been learnt here of routes. */
   readLearnedState(): LearnedState['routes'] {
-    const lessons: Record<string, LearnedRouteState> = {};
+    const learnedRoutes: Record<string, LearnedRouteState> = {};
     for (const [name, routeTime] of this.#routeTimes) {
       if (!routeTime.hasEnoughSamples) continue;
-      lessons[name] = { work: routeTime.readWork(), spread: routeTime.readSpread() };
+      learnedRoutes[name] = { work: routeTime.readWork(), spread: routeTime.readSpread() };
     }
-    return lessons;
+    return learnedRoutes;
   }
 
   /**
    * Takes a request that was read: answers it at once, or lets it wait for its turn.
    *
-   * @param cameAt when it is estimated to have come, on the clock
+   * @param estimatedArrivalAt when it is estimated to have come, on the clock
    */
-  handle(request: IncomingMessage, response: ServerResponse, cameAt: number): void {
-    const admission = this.#admit(request);
+  handle(request: IncomingMessage, response: ServerResponse, estimatedArrivalAt: number): void {
+    const admission = this.#findRoute(request);
     if (admission.kind === 'turned-away') {
-      this.#answer(request, response, admission);
+      this.#sendRejection(request, response, admission);
       return;
     }
     const { route } = admission;
     const routeTime = this.#findRouteTime(route.name);
-    const times = this.#readTimes(request, route, cameAt);
+    const times = this.#computeTimes(request, route, estimatedArrivalAt);
     this.#backlog.add({
-      ...{ cameAt, aimAt: times.aimAt, deadline: times.deadline, priority: route.priority },
+      ...{
+        estimatedArrivalAt,
+        aimAt: times.aimAt,
+        deadline: times.deadline,
+        priority: route.priority,
+      },
       // What a call takes at its target is not guessed here; its turn alone may come too late.
       ...{ work: routeTime.isKnown ? routeTime.readWork() : 0, isWorkKnown: true },
       ...{ spread: routeTime.readSpread(), mayBeRefused: true },
-      isGone: () => isCallerGone(request, response),
-      begin: () => {
+      hasCallerLeft: () => hasCallerLeft(request, response),
+      start: () => {
         this.#serve(request, response, { ...admission, ...times }).catch(
           this.options.onInvariantViolation,
         );
@@ -177,23 +185,23 @@
     admitted: TimedRequest,
   ): Promise<void> {
     const body = await readBody(request, admitted.table.limits);
-    if (body.kind === 'gone' || isCallerGone(request, response)) return;
+    if (body.kind === 'gone' || hasCallerLeft(request, response)) return;
     if (body.kind === 'refused') {
-      this.#answer(request, response, makeTurnedAway(body.told, false));
+      this.#sendRejection(request, response, createRejected(body.answer, false));
       return;
     }
-    const routed = this.#route(request, body, admitted);
-    const context = this.#makeContext(admitted.route);
+    const routed = this.#createRouted(request, body, admitted);
+    const context = this.#createContext(admitted.route);
     const forwarding = new Forwarding(context, routed, response);
-    const unwatch = watchLeaving(request, response, () => forwarding.leave());
+    const stopWatching = watchDisconnect(request, response, () => forwarding.cancel());
     try {
       await forwarding.run();
     } finally {
-      unwatch();
+      stopWatching();
     }
   }
 
-  #makeContext(route: Route): ForwardingContext {
+  #createContext(route: Route): ForwardingContext {
     const { clock, log, metrics, poison } = this.options;
     return {
       ...{ clock, log, metrics, poison, counts: this.counts },
@@ -203,63 +211,93 @@
 
   /** Tells a caller that its turn would come too late. */
   #refuse(response: ServerResponse, admitted: TimedRequest, wait: number): void {
-    const told = { kind: 'not-run', reason: 'busy', retryAfter: wait } as const;
+    const answer = { kind: 'not-run', reason: 'busy', retryAfter: wait } as const;
     this.counts.notRun += 1;
     const service = { name: admitted.service };
-    new RequestLog(this.options, { ...admitted, service }).tellOwnAnswer(told);
-    writeTold(response, admitted.id, told);
+    new RequestLog(this.options, { ...admitted, service }).logLocalAnswer(answer);
+    writeLocalAnswer(response, admitted.id, answer);
   }
 
   /** Reads when an answer stops to be of use; the time that the request lay unread has passed already. */
-  #readTimes(request: IncomingMessage, route: Route, cameAt: number): RequestTimes {
-    const asked = Number(readHeader(request.headers, HEADERS.timeLeft));
-    const allowed = Math.min(asked > 0 ? asked : LONGEST_HOLD, route.timeout, LONGEST_HOLD);
+  #computeTimes(request: IncomingMessage, route: Route, estimatedArrivalAt: number): RequestTimes {
+    const statedTime = Number(readHeader(request.headers, HEADERS.timeLeft));
+    const maxTime = Math.min(statedTime > 0 ? statedTime : MAX_HOLD_MS, route.timeout, MAX_HOLD_MS);
     return {
-      ...{ id: readHeader(request.headers, HEADERS.requestId) ?? '', cameAt },
-      arrivedAt: this.options.clock.now(),
-      aimAt: cameAt + this.#aims.read(route, asked, cameAt),
-      deadline: cameAt + allowed,
+      ...{
+        id: readHeader(request.headers, HEADERS.requestId) ?? '',
+        estimatedArrivalAt,
+      },
+      headReadAt: this.options.clock.now(),
+      aimAt: estimatedArrivalAt + this.#latencyBudgets.read(route, statedTime, estimatedArrivalAt),
+      deadline: estimatedArrivalAt + maxTime,
     };
   }
 
   /** Finds the route and the service of a request, by its head alone. */
-  #admit(request: IncomingMessage): Admitted | TurnedAway {
+  #findRoute(request: IncomingMessage): AdmittedRequest | RejectedRequest {
     const table = this.options.readTable();
     if (table === undefined) {
-      const told = { kind: 'not-run', reason: 'starting', retryAfter: STARTING_RETRY } as const;
-      return makeTurnedAway(told, true);
+      const answer = {
+        kind: 'not-run',
+        reason: 'starting',
+        retryAfter: STARTING_RETRY_AFTER_MS,
+      } as const;
+      return createRejected(answer, true);
     }
-    if (this.#isClosed) {
-      const told = { kind: 'not-run', reason: 'stopping', retryAfter: STOPPING_RETRY } as const;
-      return makeTurnedAway(told, false);
+    if (this.#isStopping) {
+      const answer = {
+        kind: 'not-run',
+        reason: 'stopping',
+        retryAfter: STOPPING_RETRY_AFTER_MS,
+      } as const;
+      return createRejected(answer, false);
     }
     const refusal = checkRequest(request, table.limits);
-    if (refusal !== undefined) return makeTurnedAway(refusal, false);
+    if (refusal !== undefined) return createRejected(refusal, false);
     const [path = '/'] = (request.url ?? '/').split('?', 1);
     const [host = ''] = (request.headers.host ?? '').split(':', 1);
     const route = table.findRoute(host, path);
-    if (route === undefined) return makeTurnedAway({ kind: 'no-route' }, true);
-    const service = this.#dealer.pick(route);
+    if (route === undefined) return createRejected({ kind: 'no-route' }, true);
+    const service = this.#splitter.pick(route);
     if (service === undefined) {
-      const told = { kind: 'not-run', reason: 'no-target', retryAfter: STARTING_RETRY } as const;
-      return makeTurnedAway(told, true);
+      const answer = {
+        kind: 'not-run',
+        reason: 'no-target',
+        retryAfter: STARTING_RETRY_AFTER_MS,
+      } as const;
+      return createRejected(answer, true);
     }
     return { kind: 'admitted', table, route, service };
   }
 
-  #answer(request: IncomingMessage, response: ServerResponse, away: TurnedAway): void {
+  #sendRejection(
+    request: IncomingMessage,
+    response: ServerResponse,
+    rejected: RejectedRequest,
+  ): void {
     const id = readHeader(request.headers, HEADERS.requestId) ?? '';
-    const { told, keepsConnection } = away;
+    const { answer, keepsConnection } = rejected;
     if (!keepsConnection) response.shouldKeepAlive = false;
-    this.options.log.info('request.refused', { id, told: told.kind, path: request.url });
-    writeTold(response, id, told);
+    this.options.log.info('request.refused', { id, told: answer.kind, path: request.url });
+    writeLocalAnswer(response, id, answer);
   }
 
-  #route(request: IncomingMessage, body: WholeBody, admitted: TimedRequest): RoutedRequest {
-    const { id, route, arrivedAt, cameAt, aimAt, deadline } = admitted;
-    const passed = buildPassedHeaders(request);
+  #createRouted(
+    request: IncomingMessage,
+    body: AcceptedBody,
+    admitted: TimedRequest,
+  ): RoutedRequest {
+    const {
+      id,
+      route,
+      headReadAt,
+      estimatedArrivalAt,
+      aimAt,
+      deadline,
+    } = admitted;
+    const commonHeaders = buildCommonHeaders(request);
     const length = body.kind === 'whole' ? body.data?.length : readLength(request);
-    const sent = {
+    const outgoing = {
       ...{ method: request.method ?? 'GET', path: request.url ?? '/' },
       body: body.kind === 'whole' ? body.data : body.source,
       bodyBytes: length ?? 0,
@@ -267,10 +305,19 @@
     const { host = '' } = request.headers;
     const caller = request.socket.remoteAddress ?? '';
     return {
-      ...{ id, route, arrivedAt, cameAt, aimAt, deadline, ...sent },
+      ...{
+        id,
+        route,
+        headReadAt,
+        estimatedArrivalAt,
+        aimAt,
+        deadline,
+        ...outgoing,
+      },
       service: this.options.targets.getService(admitted.service),
-      identity: new RequestIdentity({ ...sent, host, caller }),
-      buildHeaders: (target, timeLeft) => buildTargetHeaders(passed, target, { timeLeft, length }),
+      identity: new RequestIdentity({ ...outgoing, host, caller }),
+      buildHeaders: (target, timeLeft) =>
+        buildTargetHeaders(commonHeaders, target, { timeLeft, length }),
     };
   }
 
@@ -278,8 +325,8 @@
     const known = this.#routeTimes.get(route);
     if (known !== undefined) return known;
     const routeTime = new RouteTime();
-    const lesson = this.#lessons[route];
-    if (lesson !== undefined) routeTime.setPrior(lesson);
+    const learned = this.#learnedRoutes[route];
+    if (learned !== undefined) routeTime.setPrior(learned);
     this.#routeTimes.set(route, routeTime);
     return routeTime;
   }
--- a/src/gateway/requests/request-identity.ts
+++ b/src/gateway/requests/request-identity.ts
@@ -9,7 +9,7 @@
  */
 import { createHash } from 'node:crypto';
 import { HEAD_DIGEST_LENGTH } from '../../balance/index.js';
-import type { Sending } from './attempt.js';
+import type { OutgoingRequest } from './attempt.js';
 
 /** What a request is told apart by. */
 export interface RequestTraits {
@@ -19,7 +19,7 @@
   readonly path: string;
   /** IP number of the caller. */
   readonly caller: string;
-  readonly body: Sending['body'];
+  readonly body: OutgoingRequest['body'];
   /** Length of the body, as far as it is known. */
   readonly bodyBytes: number;
 }
@@ -33,32 +33,32 @@
 
 /** The names of one request. */
 export class RequestIdentity {
-  #heads: readonly string[] | undefined;
+  #headDigests: readonly string[] | undefined;
 
-  #names: readonly string[] | undefined;
+  #fingerprints: readonly string[] | undefined;
 
   constructor(private readonly traits: RequestTraits) {}
 
   /** The parts of the names that stand for everything but the body. */
   get headDigests(): readonly string[] {
-    if (this.#heads !== undefined) return this.#heads;
+    if (this.#headDigests !== undefined) return this.#headDigests;
     const { method, host, path, caller } = this.traits;
-    const [bare] = path.split('?', 1);
+    const [barePath] = path.split('?', 1);
     const exact = hashParts([method, host, path, caller]);
-    const anyParameters = hashParts([method, host, bare, caller]);
-    const anyCaller = hashParts([method, host, bare]);
-    this.#heads = [...new Set([exact, anyParameters, anyCaller])];
-    return this.#heads;
+    const anyParameters = hashParts([method, host, barePath, caller]);
+    const anyCaller = hashParts([method, host, barePath]);
+    this.#headDigests = [...new Set([exact, anyParameters, anyCaller])];
+    return this.#headDigests;
   }
 
   /** From the one that tells most to the widest. A body that is not held counts by its length. */
   get fingerprints(): readonly string[] {
-    if (this.#names !== undefined) return this.#names;
+    if (this.#fingerprints !== undefined) return this.#fingerprints;
     const { body, bodyBytes } = this.traits;
-    const tail = Buffer.isBuffer(body)
+    const bodyDigest = Buffer.isBuffer(body)
       ? hashParts(['held'], body)
       : hashParts(['streamed', `${bodyBytes}`]);
-    this.#names = this.headDigests.map((head) => head + tail);
-    return this.#names;
+    this.#fingerprints = this.headDigests.map((headDigest) => headDigest + bodyDigest);
+    return this.#fingerprints;
   }
 }
--- a/src/gateway/requests/request-log.ts
+++ b/src/gateway/requests/request-log.ts
@@ -1,7 +1,7 @@
 /** The lines and counters of one request: each decision on it, with what it rested on. */
 import { findLatenessCause } from '../../balance/index.js';
 import type { Clock, Log, TextMetrics } from '../../kernel/index.js';
-import type { Told } from './answers.js';
+import type { LocalAnswer } from './answers.js';
 import type { RunningAttempt } from './attempt.js';
 
 /** What all lines of a request name. */
@@ -10,9 +10,9 @@
   readonly route: { readonly name: string };
   readonly service: { readonly name: string };
   /** When its head was read, on the kernel's clock. */
-  readonly arrivedAt: number;
+  readonly headReadAt: number;
   /** When it is estimated to have come: it lay unread from then on. */
-  readonly cameAt: number;
+  readonly estimatedArrivalAt: number;
   /** When an answer that leaves here stops to be fully useful to the caller. */
   readonly aimAt: number;
 }
@@ -27,9 +27,9 @@
 /** Tells of one request. */
 export class RequestLog {
   /** When it was first sent to a target. */
-  #sentAt: number | undefined;
+  #firstSentAt: number | undefined;
 
-  #sendings = 0;
+  #attemptCount = 0;
 
   constructor(
     private readonly options: RequestLogOptions,
@@ -37,45 +37,48 @@
   ) {}
 
   /** Notes that it is sent to a target. */
-  noteSent(): void {
-    this.#sentAt ??= this.options.clock.now();
-    this.#sendings += 1;
+  recordAttempt(): void {
+    this.#firstSentAt ??= this.options.clock.now();
+    this.#attemptCount += 1;
   }
 
   /** Tells of an answer of ours. */
-  tellOwnAnswer(told: Told): void {
+  logLocalAnswer(answer: LocalAnswer): void {
     const { clock, log, metrics } = this.options;
-    const { id, route, service, arrivedAt } = this.request;
+    const { id, route, service, headReadAt } = this.request;
     const now = clock.now();
-    const reason = 'reason' in told ? told.reason : '';
-    metrics.count('request_told', { service: service.name, told: told.kind, reason });
+    const reason = 'reason' in answer ? answer.reason : '';
+    metrics.count('request_told', { service: service.name, told: answer.kind, reason });
     log.info('request.told', {
-      ...{ id, route: route.name, service: service.name, told: told.kind },
-      ...{ reason: 'reason' in told ? told.reason : undefined, sendings: this.#sendings },
-      ...{ unread: this.#readUnread(), waited: Math.round((this.#sentAt ?? now) - arrivedAt) },
-      held: Math.round(now - arrivedAt),
-      retry_after: 'retryAfter' in told ? Math.round(told.retryAfter) : undefined,
+      ...{ id, route: route.name, service: service.name, told: answer.kind },
+      ...{ reason: 'reason' in answer ? answer.reason : undefined, sendings: this.#attemptCount },
+      ...{
+        unread: this.#computeUnread(),
+        waited: Math.round((this.#firstSentAt ?? now) - headReadAt),
+      },
+      held: Math.round(now - headReadAt),
+      retry_after: 'retryAfter' in answer ? Math.round(answer.retryAfter) : undefined,
     });
   }
 
-  /** Tells of a target's answer that is passed on. @param usual how long a call takes as expected */
-  tellAnswer(attempt: RunningAttempt, usual: number): void {
+  /** Tells of a target's answer that is passed on. @param expectedTime how long a call takes as expected */
+  logAnswer(attempt: RunningAttempt, expectedTime: number): void {
     const { clock, log, metrics } = this.options;
-    const { id, route, arrivedAt } = this.request;
+    const { id, route, headReadAt } = this.request;
     const { target, startedAt, timing } = attempt;
     const now = clock.now();
-    metrics.observe('request_unread_ms', {}, this.#readUnread());
-    metrics.observe('request_held_ms', { route: route.name }, now - arrivedAt);
+    metrics.observe('request_unread_ms', {}, this.#computeUnread());
+    metrics.observe('request_held_ms', { route: route.name }, now - headReadAt);
     metrics.observe('attempt_head_ms', { route: route.name }, timing.head);
-    this.#tellLateness(attempt, usual);
+    this.#logLateness(attempt, expectedTime);
     log.debug('request.answered', {
-      ...{ id, route: route.name, target: target.record.incarnation, sendings: this.#sendings },
+      ...{ id, route: route.name, target: target.record.incarnation, sendings: this.#attemptCount },
       ...{
-        unread: this.#readUnread(),
-        before: Math.round(startedAt - arrivedAt),
+        unread: this.#computeUnread(),
+        before: Math.round(startedAt - headReadAt),
         connect: Math.round(timing.connected),
       },
-      ...{ head: Math.round(timing.head), held: Math.round(now - arrivedAt) },
+      ...{ head: Math.round(timing.head), held: Math.round(now - headReadAt) },
       ...{ slowdown: target.load.lastSlowdown, calls: target.load.countCalls(now, 1) },
     });
   }
@@ -86,11 +89,11 @@
    * @param lost for one that was sent and lost: whether its target ended, and what its request is known by, as tries
    *   of the same request have other ids
    */
-  tellFailure(
+  logFailure(
     { target, startedAt, timing }: RunningAttempt,
     outcome: string,
     reason: string,
-    lost?: { readonly ended: boolean; readonly names: readonly string[] },
+    lost?: { readonly ended: boolean; readonly fingerprints: readonly string[] },
   ): void {
     const { clock, log, metrics } = this.options;
     const { id, service } = this.request;
@@ -98,7 +101,7 @@
     metrics.count('attempt_failed', { service: service.name, outcome });
     log.info('attempt.failed', {
       ...{ id, service: service.name, target: target.record.incarnation, outcome, reason },
-      ...{ ended: lost?.ended, request: lost?.names[0], alike: lost?.names.at(-1) },
+      ...{ ended: lost?.ended, request: lost?.fingerprints[0], alike: lost?.fingerprints.at(-1) },
       ...{
         took: Math.round(now - startedAt),
         connect: Math.round(timing.connected),
@@ -109,30 +112,30 @@
     });
   }
 
-  #readUnread(): number {
-    return Math.round(this.request.arrivedAt - this.request.cameAt);
+  #computeUnread(): number {
+    return Math.round(this.request.headReadAt - this.request.estimatedArrivalAt);
   }
 
   /** Tells of an answer that comes after its aim, and why. */
-  #tellLateness({ target }: RunningAttempt, usual: number): void {
+  #logLateness({ target }: RunningAttempt, expectedTime: number): void {
     const { clock, log, metrics } = this.options;
-    const { id, route, service, arrivedAt, aimAt } = this.request;
+    const { id, route, service, headReadAt, aimAt } = this.request;
     const now = clock.now();
     const times = {
-      ...{ aimLeft: aimAt - arrivedAt, waited: (this.#sentAt ?? now) - arrivedAt },
-      ...{ held: now - arrivedAt, attempts: this.#sendings },
+      ...{ aimLeft: aimAt - headReadAt, waited: (this.#firstSentAt ?? now) - headReadAt },
+      ...{ held: now - headReadAt, attempts: this.#attemptCount },
     };
-    const why = findLatenessCause(times, usual);
+    const why = findLatenessCause(times, expectedTime);
     if (why === 'in-time') return;
     metrics.count('answers_late', { service: service.name, why });
     log.info('request.late', {
       ...{ id, route: route.name, service: service.name, why },
       ...{
         aim_left: Math.round(times.aimLeft),
-        unread: this.#readUnread(),
+        unread: this.#computeUnread(),
         waited: Math.round(times.waited),
       },
-      ...{ held: Math.round(times.held), sendings: this.#sendings },
+      ...{ held: Math.round(times.held), sendings: this.#attemptCount },
       ...{ target: target.record.incarnation, calls: target.load.countCalls(now, 1) },
     });
   }
--- a/src/gateway/requests/request-reader.ts
+++ b/src/gateway/requests/request-reader.ts
@@ -5,30 +5,33 @@
 import { listPairs } from '../../proxy/headers.js';
 import { HEADERS } from '../../platform/index.js';
 import type { RequestLimits } from '../../routing/index.js';
-import type { Told } from './answers.js';
+import type { LocalAnswer } from './answers.js';
 import type { GatewayTarget } from '../targets/target.js';
 
 /** Bodies up to this length are read whole before a target is chosen, so that they can be sent again. */
-export const HELD_BODY = 1_048_576;
+export const MAX_BUFFERED_BODY_BYTES = 1_048_576;
 
-const TOO_LARGE = 413;
+const BODY_TOO_LARGE = 413;
 const HEADERS_TOO_LARGE = 431;
 
 /** Bytes that each header line needs besides its name and value. */
-const LINE_BYTES = 4;
+const HEADER_LINE_BYTES = 4;
 
 function countHeaderBytes(request: IncomingMessage): number {
   let bytes = (request.url ?? '').length + (request.method ?? '').length;
   for (const part of request.rawHeaders) bytes += part.length;
-  return bytes + (request.rawHeaders.length / 2) * LINE_BYTES;
+  return bytes + (request.rawHeaders.length / 2) * HEADER_LINE_BYTES;
 }
 
-function reject(status: number, reason: string): Told {
+function reject(status: number, reason: string): LocalAnswer {
   return { kind: 'bad-request', status, reason };
 }
 
 /** Checks the head of a request; undefined lets it in. */
-export function checkRequest(request: IncomingMessage, limits: RequestLimits): Told | undefined {
+export function checkRequest(
+  request: IncomingMessage,
+  limits: RequestLimits,
+): LocalAnswer | undefined {
   normalizeTarget(request);
   const refusal = checkHead(request);
   if (refusal !== undefined) return reject(refusal.status, refusal.detail);
@@ -46,7 +49,7 @@
   | { readonly kind: 'whole'; readonly data: Buffer | undefined }
   /** Too long to hold: the stream of a body that can be sent once. */
   | { readonly kind: 'stream'; readonly source: Readable }
-  | { readonly kind: 'refused'; readonly told: Told }
+  | { readonly kind: 'refused'; readonly answer: LocalAnswer }
   /** The caller went away. */
   | { readonly kind: 'gone' };
 
@@ -61,18 +64,18 @@
       data: headers['content-length'] === undefined ? undefined : Buffer.alloc(0),
     });
   }
-  if (length > HELD_BODY) return Promise.resolve({ kind: 'stream', source: request });
+  if (length > MAX_BUFFERED_BODY_BYTES) return Promise.resolve({ kind: 'stream', source: request });
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
     let bytes = 0;
     const onData = (chunk: Buffer) => {
       bytes += chunk.length;
       if (bytes > limits.bodyBytes) {
-        resolve({ kind: 'refused', told: rejectBody(limits) });
+        resolve({ kind: 'refused', answer: rejectBody(limits) });
         return;
       }
       chunks.push(chunk);
-      if (bytes <= HELD_BODY) return;
+      if (bytes <= MAX_BUFFERED_BODY_BYTES) return;
       // Too long to hold: what was read goes back, and the rest passes through.
       request.pause();
       request.removeListener('data', onData);
@@ -86,8 +89,8 @@
   });
 }
 
-function rejectBody({ bodyBytes }: RequestLimits): Told {
-  return reject(TOO_LARGE, `a body over ${bodyBytes} bytes`);
+function rejectBody({ bodyBytes }: RequestLimits): LocalAnswer {
+  return reject(BODY_TOO_LARGE, `a body over ${bodyBytes} bytes`);
 }
 
 /** Passes a body on while it stays within the limit; a longer one ends the request. */
@@ -104,7 +107,7 @@
 }
 
 /** Headers that end at this daemon, and those that it sets itself. */
-const NOT_PASSED_ON = new Set([
+const DROPPED_HEADERS = new Set([
   ...['connection', 'keep-alive', 'proxy-connection', 'proxy-authenticate', 'te', 'trailer'],
   ...['transfer-encoding', 'upgrade', 'expect', 'content-length'],
   ...[HEADERS.timeLeft.toLowerCase(), HEADERS.expectedIncarnation.toLowerCase()],
@@ -116,25 +119,25 @@
 }
 
 /** Builds the headers that each target gets, but for what depends on the target. */
-export function buildPassedHeaders(request: IncomingMessage): readonly string[] {
+export function buildCommonHeaders(request: IncomingMessage): readonly string[] {
   const options = listConnectionOptions(request);
-  const passed: string[] = [];
+  const headers: string[] = [];
   for (const [name, value] of listPairs(request.rawHeaders)) {
     const lower = name.toLowerCase();
-    if (NOT_PASSED_ON.has(lower) || options.has(lower)) continue;
-    passed.push(name, value);
+    if (DROPPED_HEADERS.has(lower) || options.has(lower)) continue;
+    headers.push(name, value);
   }
-  return passed;
+  return headers;
 }
 
 /** Adds what one target is told: the time left, who must answer, and the length of the body. */
 export function buildTargetHeaders(
-  passed: readonly string[],
+  commonHeaders: readonly string[],
   target: GatewayTarget,
   { timeLeft, length }: { readonly timeLeft: number; readonly length: number | undefined },
 ): readonly string[] {
   const headers = [
-    ...passed,
+    ...commonHeaders,
     ...[HEADERS.timeLeft, String(Math.max(1, Math.floor(timeLeft)))],
     ...[HEADERS.expectedIncarnation, target.record.incarnation],
   ];
