--- a/test/gateway.test.ts
+++ b/test/gateway.test.ts
@@ -25,15 +25,15 @@
 
 /** Makes only the first request that comes to any of the targets go wrong. */
 function breakFirst(targets: readonly SiteTarget[], behaviour: Behaviour): void {
-  let isSpoilt = false;
+  let hasFailed = false;
   for (const target of targets) {
     target.behaviour = (request, response) => {
       request.resume();
-      if (isSpoilt) {
+      if (hasFailed) {
         target.answer(request, response);
         return;
       }
-      isSpoilt = true;
+      hasFailed = true;
       behaviour(request, response);
     };
   }
@@ -267,11 +267,11 @@
       expect(site.targets.flatMap(({ ran }) => ran)).to.not.include('left');
     });
     it('tries another target in time when one has turned mute', async () => {
-      const [mute, sound] = site.targets;
-      mute.behaviour = () => undefined;
+      const [silent, healthy] = site.targets;
+      silent.behaviour = () => undefined;
       for (let count = 0; count < 6; count += 1) {
         const reply = await sendTo(ip);
-        expect(reply).to.include({ status: 200, text: sound.incarnation });
+        expect(reply).to.include({ status: 200, text: healthy.incarnation });
         expect(reply.took).to.be.lessThan(600);
       }
     });
@@ -425,9 +425,9 @@
   // and held most callers of that time until they were late.
   it('are told to callers for a short time while a daemon does not know the others yet', async () => {
     const first = await site.addGateway([], 'homes = 2\nhome_capacity = 0.1');
-    const lonely = await askDirectory(first);
-    expect(lonely.addresses).to.deep.equal([`${first}:${callersPort}`]);
-    expect(lonely.ttl).to.equal(1);
+    const early = await askDirectory(first);
+    expect(early.addresses).to.deep.equal([`${first}:${callersPort}`]);
+    expect(early.ttl).to.equal(1);
     await site.addGateway([first], 'homes = 2\nhome_capacity = 0.1');
     await pause(2500);
     const settled = await askDirectory(first);
@@ -470,7 +470,7 @@
     const [follower, home] = homes.includes(`${first}:${callersPort}`)
       ? [second, first]
       : [first, second];
-    site.cutStore(home);
+    site.disconnectStore(home);
     await pause(2000);
     for (const prefix of ['/b/', '/c/', '/d/', '/e/']) {
       site.configure([...RULES, { prefix }]);
--- a/test/helpers/gateways.ts
+++ b/test/helpers/gateways.ts
@@ -41,7 +41,7 @@
 }
 
 /** What a caller sends. */
-export interface CallerSending {
+export interface CallerRequest {
   readonly path?: string;
   readonly method?: string;
   readonly id?: string;
@@ -54,7 +54,7 @@
   readonly headers?: Readonly<Record<string, string>>;
 }
 
-let nextHost = 1;
+let lastHost = 1;
 
 /** A small installation: a store, targets, gateways. */
 export class Site {
@@ -67,7 +67,7 @@
   readonly events: { readonly ip: string; readonly event: string; readonly fields: LogFields }[] =
     [];
 
-  readonly #cut = new Set<string>();
+  readonly #disconnectedFromStore = new Set<string>();
 
   /** What daemons that are created from now on are told of the agreed number of probes. */
   probesPerSecond = 60;
@@ -103,22 +103,24 @@
   }
 
   /** Cuts a gateway off from the store; calls that wait there bring nothing either. */
-  cutStore(ip: string): void {
-    this.#cut.add(ip);
+  disconnectStore(ip: string): void {
+    this.#disconnectedFromStore.add(ip);
   }
 
   #createStore(ip: string, address: Address, timeout: number): KvStore {
     const store = createKvStore(address, timeout);
-    const cut = { kind: 'unknown', reason: 'cut' } as const;
-    const pass = async <T>(call: Promise<T>) => ((await call, this.#cut.has(ip)) ? cut : call);
+    const failure = { kind: 'unknown', reason: 'cut' } as const;
+    const failIfDisconnected = async <T>(call: Promise<T>) =>
+      (await call, this.#disconnectedFromStore.has(ip)) ? failure : call;
     return {
-      readItem: (key, stale) => pass(store.readItem(key, stale)),
-      readItems: (prefix, after, stale) => pass(store.readItems(prefix, after, stale)),
-      watch: (prefix, after, wait) => pass(store.watch(prefix, after, wait)),
-      write: (write) => pass(store.write(write)),
-      remove: (removal) => pass(store.remove(removal)),
-      grantLease: (ttl) => pass(store.grantLease(ttl)),
-      renewLease: (lease) => pass(store.renewLease(lease)),
+      readItem: (key, stale) => failIfDisconnected(store.readItem(key, stale)),
+      readItems: (prefix, after, stale) =>
+        failIfDisconnected(store.readItems(prefix, after, stale)),
+      watch: (prefix, after, wait) => failIfDisconnected(store.watch(prefix, after, wait)),
+      write: (write) => failIfDisconnected(store.write(write)),
+      remove: (removal) => failIfDisconnected(store.remove(removal)),
+      grantLease: (ttl) => failIfDisconnected(store.grantLease(ttl)),
+      renewLease: (lease) => failIfDisconnected(store.renewLease(lease)),
       counts: () => store.counts(),
       close: () => store.close(),
     };
@@ -131,8 +133,8 @@
     place: { readonly domain?: string; readonly region?: string; readonly domains?: string } = {},
   ): { ip: string; gateway: Gateway } {
     const { domain = 'd1', region = 'r1', domains = '' } = place;
-    nextHost += 1;
-    const ip = `127.0.7.${nextHost % 250}`;
+    lastHost += 1;
+    const ip = `127.0.7.${lastHost % 250}`;
     const text = [
       '[gateway]',
       ...[`name = vm-${ip}`, `ip = ${ip}`, `domain = ${domain}`, `region = ${region}`],
@@ -160,9 +162,9 @@
         kvStoreService,
         this.#createStore(ip, settings.platform.address, settings.platform.timeout),
       );
-    const made = { ip, gateway: new Gateway(kernel, settings) };
-    this.gateways.push(made);
-    return made;
+    const created = { ip, gateway: new Gateway(kernel, settings) };
+    this.gateways.push(created);
+    return created;
   }
 
   /** Creates and starts a gateway. */
@@ -200,12 +202,12 @@
   });
 }
 
-let nextId = 0;
+let lastId = 0;
 
 /** Sends one request as a caller. */
-export function sendTo(ip: string, sending: CallerSending = {}): Promise<CallerReply> {
-  nextId += 1;
-  const { path = '/a/1', method = 'GET', id = `try-${nextId}`, deadline = 4000 } = sending;
+export function sendTo(ip: string, sending: CallerRequest = {}): Promise<CallerReply> {
+  lastId += 1;
+  const { path = '/a/1', method = 'GET', id = `try-${lastId}`, deadline = 4000 } = sending;
   return sendRequest(
     {
       ...{ host: ip, port: PORTS.callers, path, method, agent: sending.agent ?? false },
--- a/test/helpers/slow-machine.ts
+++ b/test/helpers/slow-machine.ts
@@ -9,15 +9,15 @@
 import { fileURLToPath } from 'node:url';
 
 /** One span, in milliseconds; callers notice some of these and no single one. */
-const SPAN = 50;
+const PERIOD_MS = 50;
 
 /** Time between two looks at what was used, in milliseconds. */
-const LOOK = 1;
+const CHECK_INTERVAL_MS = 1;
 
 /** What was not used is kept for this many spans. */
-const KEPT_SPANS = 2;
+const MAX_CREDIT_PERIODS = 2;
 
-const NANOSECONDS = 1_000_000;
+const NANOSECONDS_PER_MS = 1_000_000;
 
 async function sleep(time: number): Promise<void> {
   await new Promise((resolve) => {
@@ -26,39 +26,39 @@
 }
 
 /** Reads for how long the main thread of a process has run, in milliseconds. */
-function readUsed(pid: number): number {
+function readUsedTime(pid: number): number {
   const [nanoseconds = '0'] = readFileSync(`/proc/${pid}/schedstat`, 'utf8').split(' ');
-  return Number(nanoseconds) / NANOSECONDS;
+  return Number(nanoseconds) / NANOSECONDS_PER_MS;
 }
 
 /** Gives a process its share of each span until the parent goes away. */
-async function runSpans(pid: number, share: number): Promise<void> {
+async function runPeriods(pid: number, share: number): Promise<void> {
   let isOver = false;
   process.on('disconnect', () => {
     isOver = true;
   });
-  const allotment = SPAN * share;
-  let used = readUsed(pid);
+  const allotment = PERIOD_MS * share;
+  let used = readUsedTime(pid);
   let credit = allotment;
   while (!isOver) {
-    const endsAt = performance.now() + SPAN;
+    const endsAt = performance.now() + PERIOD_MS;
     process.kill(pid, 'SIGCONT');
     while (!isOver && performance.now() < endsAt) {
-      const now = readUsed(pid);
+      const now = readUsedTime(pid);
       credit -= now - used;
       used = now;
       if (credit <= 0) break;
-      await sleep(LOOK);
+      await sleep(CHECK_INTERVAL_MS);
     }
     process.kill(pid, 'SIGSTOP');
     await sleep(Math.max(0, endsAt - performance.now()));
-    credit = Math.min(KEPT_SPANS * allotment, credit + allotment);
+    credit = Math.min(MAX_CREDIT_PERIODS * allotment, credit + allotment);
   }
   process.kill(pid, 'SIGCONT');
 }
 
 /** Slows a process down to a share of its time; returns what makes it quick again. */
-export function limitSpeed(pid: number, share: number): () => Promise<void> {
+export function limitCpu(pid: number, share: number): () => Promise<void> {
   const child = fork(fileURLToPath(import.meta.url), [String(pid), String(share)]);
   return async () => {
     const ended = once(child, 'exit');
@@ -70,5 +70,5 @@
 const [, file, pid, share] = process.argv;
 if (file === fileURLToPath(import.meta.url)) {
   // The process may have ended before its last turn.
-  runSpans(Number(pid), Number(share)).catch(() => undefined);
+  runPeriods(Number(pid), Number(share)).catch(() => undefined);
 }
--- a/test/overdue.test.ts
+++ b/test/overdue.test.ts
@@ -27,25 +27,25 @@
   writeConfiguration,
   writeTarget,
 } from '../src/standin/index.js';
-import { limitSpeed } from './helpers/slow-machine.js';
+import { limitCpu } from './helpers/slow-machine.js';
 
 const IP = '127.0.8.31';
-const TIMEOUT = 800;
-const SLACK = 500;
-const DEADLINE = 1500;
+const TIMEOUT_MS = 800;
+const SLACK_MS = 500;
+const DEADLINE_MS = 1500;
 /** A caller waits this long for its connection, and then turns elsewhere. */
-const CONNECT_PATIENCE = 1000;
+const CONNECT_TIMEOUT_MS = 1000;
 /** The part of its time in which the daemon's machine runs it. */
-const SHARE = 0.1;
+const CPU_SHARE = 0.1;
 /** Calls a second: three times as many as such a daemon serves, which is 60 to 120. */
-const LOOK_UPS = 300;
-const POSTINGS = 20;
+const LOOKUPS_PER_SECOND = 300;
+const POSTS_PER_SECOND = 20;
 const TARGETS = 12;
-const WORK = 30;
+const WORK_MS = 30;
 
 /** What a caller saw, or when it left. */
-interface Seen {
-  readonly isKept: boolean;
+interface CallResult {
+  readonly isKeptAlive: boolean;
   /** From the connection on, in milliseconds. */
   readonly took: number;
   /** 0 without an answer. */
@@ -55,19 +55,19 @@
 }
 
 /** Callers, one daemon on a slow machine, and targets with room for all. */
-class SlowSite {
+class OverloadedSite {
   readonly store = new KvStandin();
 
   readonly targets: SiteTarget[] = [];
 
-  readonly seen: Seen[] = [];
+  readonly results: CallResult[] = [];
 
   /** Calls that reached a target this long after their callers had left. */
-  readonly afterLeaving: number[] = [];
+  readonly delaysAfterLeaving: number[] = [];
 
-  readonly #left = new Map<string, number>();
+  readonly #leftAt = new Map<string, number>();
 
-  readonly #keptAgent = new http.Agent({ keepAlive: true });
+  readonly #keepAliveAgent = new http.Agent({ keepAlive: true });
 
   #daemon: DaemonProcess | undefined;
 
@@ -78,8 +78,8 @@
   async start(): Promise<this> {
     const store = await this.store.start();
     const rules = [
-      { prefix: '/look/', timeout: TIMEOUT, aim: 300 },
-      { prefix: '/post/', kind: 'unsafe' as const, timeout: TIMEOUT, aim: 300 },
+      { prefix: '/look/', timeout: TIMEOUT_MS, aim: 300 },
+      { prefix: '/post/', kind: 'unsafe' as const, timeout: TIMEOUT_MS, aim: 300 },
     ];
     this.store.put(KEYS.configuration, writeConfiguration(3, rules));
     for (let index = 0; index < TARGETS; index += 1) await this.#addTarget(`i-${index}`);
@@ -87,7 +87,7 @@
     this.#daemon = new DaemonProcess(
       {
         ...{ ip: IP, domain: 'd1', seeds: [IP], store, directory: this.#directory },
-        cores: SHARE,
+        cores: CPU_SHARE,
         promises: [
           ...['grace = 6', 'answer_ttl = 5', 'retry_ratio = 0.2', 'retry_window = 10'],
           ...['retry_slack = 20', 'probes_per_second = 2'],
@@ -106,23 +106,23 @@
   async #addTarget(name: string): Promise<void> {
     const target = await new SiteTarget(name).start();
     target.behaviour = (request, response) => {
-      const left = this.#left.get(String(request.headers['attempt-id']));
-      if (left !== undefined) this.afterLeaving.push(performance.now() - left);
+      const leftAt = this.#leftAt.get(String(request.headers['attempt-id']));
+      if (leftAt !== undefined) this.delaysAfterLeaving.push(performance.now() - leftAt);
       request.resume();
-      setTimeout(() => target.answer(request, response), WORK);
+      setTimeout(() => target.answer(request, response), WORK_MS);
     };
     this.targets.push(target);
     this.store.put(KEYS.targets + name, writeTarget(target.address));
   }
 
   /** Sends calls at an even pace, whether or not earlier ones were answered. */
-  async call(perSecond: number, time: number, isKept: boolean): Promise<void> {
+  async call(perSecond: number, time: number, isKeptAlive: boolean): Promise<void> {
     const startedAt = performance.now();
     const calls: Promise<void>[] = [];
     for (let sent = 0; ;) {
       const elapsed = performance.now() - startedAt;
       if (elapsed > time) break;
-      for (; sent < (elapsed * perSecond) / 1000; sent += 1) calls.push(this.#send(isKept));
+      for (; sent < (elapsed * perSecond) / 1000; sent += 1) calls.push(this.#send(isKeptAlive));
       await new Promise((resolve) => {
         setTimeout(resolve, 5);
       });
@@ -130,37 +130,40 @@
     await Promise.all(calls);
   }
 
-  #send(isKept: boolean): Promise<void> {
+  #send(isKeptAlive: boolean): Promise<void> {
     this.#count += 1;
     const id = `c-${this.#count}`;
     const startedAt = performance.now();
     return new Promise((resolve) => {
       const request = http.request({
-        ...{ host: IP, port: DAEMON_PORTS.callers, method: isKept ? 'POST' : 'GET' },
-        ...{ path: isKept ? '/post/1' : '/look/1', agent: isKept ? this.#keptAgent : false },
-        headers: { host: HOST, 'attempt-id': id, 'request-deadline-ms': String(DEADLINE) },
+        ...{ host: IP, port: DAEMON_PORTS.callers, method: isKeptAlive ? 'POST' : 'GET' },
+        ...{
+          path: isKeptAlive ? '/post/1' : '/look/1',
+          agent: isKeptAlive ? this.#keepAliveAgent : false,
+        },
+        headers: { host: HOST, 'attempt-id': id, 'request-deadline-ms': String(DEADLINE_MS) },
       });
       let sentAt: number | undefined;
       const end = (status: number) => {
         clearTimeout(timer);
         clearTimeout(connecting);
         const took = performance.now() - (sentAt ?? startedAt);
-        this.seen.push({ isKept, status, isSent: sentAt !== undefined, took });
+        this.results.push({ isKeptAlive, status, isSent: sentAt !== undefined, took });
         resolve();
       };
-      const connecting = setTimeout(() => request.destroy(), CONNECT_PATIENCE);
+      const connecting = setTimeout(() => request.destroy(), CONNECT_TIMEOUT_MS);
       request.on('socket', (socket) => {
-        const note = () => {
+        const recordConnect = () => {
           sentAt = performance.now();
           clearTimeout(connecting);
         };
-        if (socket.connecting) socket.once('connect', note);
-        else note();
+        if (socket.connecting) socket.once('connect', recordConnect);
+        else recordConnect();
       });
       const timer = setTimeout(() => {
-        this.#left.set(id, performance.now());
+        this.#leftAt.set(id, performance.now());
         request.destroy();
-      }, DEADLINE);
+      }, DEADLINE_MS);
       request.on('error', () => end(0));
       request.on('response', (response) => {
         response.resume();
@@ -173,7 +176,7 @@
 
   async stop(): Promise<void> {
     this.#daemon?.close();
-    this.#keptAgent.destroy();
+    this.#keepAliveAgent.destroy();
     for (const target of this.targets) target.stop();
     this.store.stop();
     await rm(this.#directory, { recursive: true, force: true });
@@ -181,42 +184,45 @@
 }
 
 describe('more calls than the daemon itself can handle', () => {
-  let site: SlowSite;
+  let site: OverloadedSite;
 
   beforeEach(async () => {
-    site = await new SlowSite().start();
+    site = await new OverloadedSite().start();
     await new Promise((resolve) => {
       setTimeout(resolve, 1500);
     });
     // Code that has run is quick, as in a daemon that has served for a while.
     await site.call(400, 1500, false);
-    site.seen.length = 0;
+    site.results.length = 0;
   });
 
   afterEach(() => site.stop());
 
   it('are answered by their time-out, refused early, or served; none is sent on for who left', async () => {
-    const quicken = limitSpeed(site.pid, SHARE);
+    const removeLimit = limitCpu(site.pid, CPU_SHARE);
     try {
-      await Promise.all([site.call(LOOK_UPS, 5000, false), site.call(POSTINGS, 5000, true)]);
+      await Promise.all([
+        site.call(LOOKUPS_PER_SECOND, 5000, false),
+        site.call(POSTS_PER_SECOND, 5000, true),
+      ]);
     } finally {
-      await quicken();
+      await removeLimit();
     }
-    const sent = site.seen.filter(({ isSent }) => isSent);
-    const overdue = sent.filter(({ took }) => took >= TIMEOUT);
-    const heldOn = overdue.filter(({ took }) => took >= TIMEOUT + SLACK);
-    const looked = sent.filter(({ isKept }) => !isKept);
-    const served = looked.filter(({ status }) => status === 200);
-    const refused = looked.filter(({ status }) => status === 503);
-    const posted = site.seen.filter(({ isKept }) => isKept);
-    const postedWell = posted.filter(({ status }) => status === 200);
+    const sent = site.results.filter(({ isSent }) => isSent);
+    const overdue = sent.filter(({ took }) => took >= TIMEOUT_MS);
+    const heldPast = overdue.filter(({ took }) => took >= TIMEOUT_MS + SLACK_MS);
+    const lookUps = sent.filter(({ isKeptAlive: isKept }) => !isKept);
+    const served = lookUps.filter(({ status }) => status === 200);
+    const refused = lookUps.filter(({ status }) => status === 503);
+    const posts = site.results.filter(({ isKeptAlive: isKept }) => isKept);
+    const servedPosts = posts.filter(({ status }) => status === 200);
     const figures =
-      `not connected ${site.seen.length - sent.length}, overdue ${overdue.length}, held on ${heldOn.length}; look-ups ${looked.length}, served ` +
-      `${served.length}, refused ${refused.length}; postings ${posted.length}, served ${postedWell.length}; ` +
-      `sent on for who left ${site.afterLeaving.length}`;
-    expect(heldOn.length, figures).to.be.lessThan(Math.max(8, overdue.length / 4));
-    const longAfter = site.afterLeaving.filter((time) => time > SLACK);
-    expect(longAfter.length, figures).to.be.lessThan(4);
-    expect(served.length + refused.length, figures).to.be.greaterThan(0.9 * looked.length);
+      `not connected ${site.results.length - sent.length}, overdue ${overdue.length}, held on ${heldPast.length}; look-ups ${lookUps.length}, served ` +
+      `${served.length}, refused ${refused.length}; postings ${posts.length}, served ${servedPosts.length}; ` +
+      `sent on for who left ${site.delaysAfterLeaving.length}`;
+    expect(heldPast.length, figures).to.be.lessThan(Math.max(8, overdue.length / 4));
+    const forwardedLate = site.delaysAfterLeaving.filter((time) => time > SLACK_MS);
+    expect(forwardedLate.length, figures).to.be.lessThan(4);
+    expect(served.length + refused.length, figures).to.be.greaterThan(0.9 * lookUps.length);
   }).timeout(30_000);
 });
--- a/test/poison.test.ts
+++ b/test/poison.test.ts
@@ -27,8 +27,8 @@
 const POISON = '/a/poison?page=3';
 
 /** Until a target ends under the request, and until it is back; milliseconds. */
-const RUN_TIME = 25;
-const AWAY_TIME = 400;
+const RUN_TIME_MS = 25;
+const DOWN_TIME_MS = 400;
 
 const TARGETS = 8;
 const DAEMONS = 3;
@@ -38,7 +38,7 @@
   let ips: readonly string[];
   const timers = new Set<NodeJS.Timeout>();
 
-  const later = (time: number, action: () => void) => {
+  const schedule = (time: number, action: () => void) => {
     const timer = setTimeout(() => {
       timers.delete(timer);
       action();
@@ -49,12 +49,12 @@
   /** Ends a target; it is back after a while, under its name, as a later start. */
   const crash = (target: SiteTarget) => {
     target.crash();
-    const life = Date.now();
-    later(AWAY_TIME, () => {
+    const bornAt = Date.now();
+    schedule(DOWN_TIME_MS, () => {
       target
         .restart()
         .then(() => {
-          const entry = writeTarget(target.address, { born: life });
+          const entry = writeTarget(target.address, { born: bornAt });
           site.store.put(KEYS.targets + target.incarnation, entry);
         })
         .catch(() => undefined);
@@ -62,10 +62,10 @@
   };
 
   /** Takes what the targets do with the request, and what their entries say. */
-  const release = (version: string) => {
+  const releaseVersion = (version: string) => {
     for (const target of site.targets) {
       target.behaviour = (request, response) =>
-        later(RUN_TIME, () => target.answer(request, response));
+        schedule(RUN_TIME_MS, () => target.answer(request, response));
       const entry = writeTarget(target.address, { version, born: Date.now() });
       site.store.put(KEYS.targets + target.incarnation, entry);
     }
@@ -78,8 +78,8 @@
     for (let index = 0; index < TARGETS; index += 1) {
       const target = await site.addTarget();
       const run: Behaviour = (request, response) => {
-        if (request.url?.includes('poison') === true) later(RUN_TIME, () => crash(target));
-        else later(RUN_TIME, () => target.answer(request, response));
+        if (request.url?.includes('poison') === true) schedule(RUN_TIME_MS, () => crash(target));
+        else schedule(RUN_TIME_MS, () => target.answer(request, response));
       };
       target.behaviour = run;
     }
@@ -96,32 +96,32 @@
   });
 
   /** Sends it again and again, at one daemon after the other, beside other requests. */
-  const press = async (path: string, time: number, method = 'GET') => {
+  const sendRepeatedly = async (path: string, time: number, method = 'GET') => {
     const replies: CallerReply[] = [];
-    const innocents: Promise<CallerReply | undefined>[] = [];
+    const pendingReplies: Promise<CallerReply | undefined>[] = [];
     const until = performance.now() + time;
     for (let turn = 0; performance.now() < until; turn += 1) {
       const ip = ips[turn % ips.length];
       for (let index = 0; index < 4; index += 1) {
-        innocents.push(sendTo(ip, { path: `/a/${turn}-${index}` }).catch(() => undefined));
+        pendingReplies.push(sendTo(ip, { path: `/a/${turn}-${index}` }).catch(() => undefined));
       }
       replies.push(await sendTo(ip, { path, method }));
       await pause(40);
     }
-    return { replies, innocents: await Promise.all(innocents) };
+    return { replies, otherReplies: await Promise.all(pendingReplies) };
   };
 
   it('ends two targets in all, at whatever daemon it comes', async () => {
-    const { replies, innocents } = await press(POISON, 4000);
+    const { replies, otherReplies } = await sendRepeatedly(POISON, 4000);
     expect(countEnded(), 'targets ended').to.be.within(1, 2);
     expect(replies.length).to.be.greaterThan(20);
     const refused = replies.filter(({ status }) => status === 503);
     expect(refused.length).to.be.greaterThan(replies.length - 3);
-    const served = innocents.filter((reply) => reply?.status === 200);
-    expect(served.length / innocents.length).to.be.greaterThan(0.99);
+    const served = otherReplies.filter((reply) => reply?.status === 200);
+    expect(served.length / otherReplies.length).to.be.greaterThan(0.99);
   });
   it('is told of truthfully: a try that was sent is unknown, one that was not is not run', async () => {
-    const { replies } = await press(POISON, 1500);
+    const { replies } = await sendRepeatedly(POISON, 1500);
     const ran = new Set(site.targets.flatMap((target) => target.ran));
     expect(replies.some(({ status }) => status === 502)).to.equal(true);
     for (const { status, headers } of replies) {
@@ -150,8 +150,8 @@
   it('does not keep others from its path, whose requests targets run', async () => {
     for (const target of site.targets) {
       target.behaviour = (request, response) => {
-        if (request.headers['x-bad'] !== undefined) later(RUN_TIME, () => crash(target));
-        else later(RUN_TIME, () => target.answer(request, response));
+        if (request.headers['x-bad'] !== undefined) schedule(RUN_TIME_MS, () => crash(target));
+        else schedule(RUN_TIME_MS, () => target.answer(request, response));
       };
     }
     const statuses: number[] = [];
@@ -176,7 +176,7 @@
     expect(statuses.filter((status) => status !== 200).length).to.be.below(12);
   });
   it('ends two where it may not be repeated by us, as its caller does that', async () => {
-    await press('/once/poison', 2500, 'POST');
+    await sendRepeatedly('/once/poison', 2500, 'POST');
     expect(countEnded()).to.be.within(1, 2);
   });
   it('ends two where other targets fail it before they begin', async () => {
@@ -184,30 +184,30 @@
       target.behaviour = (request, response) => {
         const isPoison = request.url?.includes('poison') === true;
         if (isPoison) response.writeHead(500, { 'Server-Signature': 'sig.1' }).end();
-        else later(RUN_TIME, () => target.answer(request, response));
+        else schedule(RUN_TIME_MS, () => target.answer(request, response));
       };
     }
-    await press(POISON, 2500);
+    await sendRepeatedly(POISON, 2500);
     expect(countEnded()).to.be.within(1, 2);
   });
   it('is known to a daemon that starts, and to all after a loss of all power', async () => {
-    await press(POISON, 1000);
+    await sendRepeatedly(POISON, 1000);
     const ended = countEnded();
-    const newcomer = await site.addGateway([ips[0]]);
-    expect((await sendTo(newcomer, { path: POISON })).status).to.equal(503);
+    const startedLater = await site.addGateway([ips[0]]);
+    expect((await sendTo(startedLater, { path: POISON })).status).to.equal(503);
     const isStored = () => site.store.get(KEYS.learnedState)?.includes('"poison":[{') === true;
     await waitUntil(isStored, 'the store keeps it');
     for (const { gateway } of site.gateways) gateway.destroy();
     const first = await site.addGateway();
     ips = [first, await site.addGateway([first]), await site.addGateway([first])];
-    await press(POISON, 1500);
+    await sendRepeatedly(POISON, 1500);
     expect(countEnded()).to.equal(ended);
   });
   it('is served soon after a release that mends the targets', async () => {
-    await press(POISON, 1000);
+    await sendRepeatedly(POISON, 1000);
     const ended = countEnded();
-    await pause(2 * AWAY_TIME);
-    release('v2');
+    await pause(2 * DOWN_TIME_MS);
+    releaseVersion('v2');
     let isServed = false;
     for (let turn = 0; turn < 30 && !isServed; turn += 1) {
       const replies = await Promise.all(ips.map((ip) => sendTo(ip, { path: POISON })));
@@ -220,24 +220,26 @@
   });
   it('is not taken for one that loses its connection, whose targets live', async () => {
     for (const target of site.targets) target.behaviour = (request) => request.socket.destroy();
-    const { replies } = await press(POISON, 1000);
+    const { replies } = await sendRepeatedly(POISON, 1000);
     expect(new Set(replies.map(({ status }) => status))).to.deep.equal(new Set([502]));
     expect(site.events.some(({ event }) => event === 'poison.suspected')).to.equal(false);
   });
   it('is not taken for one that was lost with targets that end by themselves', async () => {
-    const flapping = site.targets.slice(0, TARGETS / 2);
-    const flap = (turn: number) => {
-      const target = flapping[turn % flapping.length];
+    const unstable = site.targets.slice(0, TARGETS / 2);
+    const crashNext = (turn: number) => {
+      const target = unstable[turn % unstable.length];
       if (target.isListening) crash(target);
-      later(130, () => flap(turn + 1));
+      schedule(130, () => crashNext(turn + 1));
     };
-    flap(0);
-    const { innocents } = await press('/a/same', 5000);
-    const told = innocents.map((reply) => reply?.text ?? '');
+    crashNext(0);
+    const { otherReplies } = await sendRepeatedly('/a/same', 5000);
+    const bodies = otherReplies.map((reply) => reply?.text ?? '');
     expect(site.events.some(({ event }) => event === 'poison.suspected')).to.equal(true);
-    expect(told.filter((text) => text.includes('poison')).length / told.length).to.be.below(0.005);
-    const served = innocents.filter((reply) => reply?.status === 200);
-    expect(served.length / innocents.length).to.be.greaterThan(0.98);
+    expect(bodies.filter((text) => text.includes('poison')).length / bodies.length).to.be.below(
+      0.005,
+    );
+    const served = otherReplies.filter((reply) => reply?.status === 200);
+    expect(served.length / otherReplies.length).to.be.greaterThan(0.98);
   });
 });
 
