--- a/src/gateway/requests/forwarding.ts
+++ b/src/gateway/requests/forwarding.ts
@@ -516,8 +516,8 @@
       0,
     );
     if (choice.kind !== 'now') return;
-    const { candidate: target, load: targetLoad } = choice;
-    if (!isQuicker(first, targetLoad.slowdown, times)) return;
+    const { candidate: target, load } = choice;
+    if (!isQuicker(first, load.slowdown, times)) return;
     if (!this.#spendRetry()) return;
     this.context.counts.hedges += 1;
     target.start(now);
--- a/src/gateway/requests/request-handler.ts
+++ b/src/gateway/requests/request-handler.ts
@@ -287,14 +287,7 @@
     body: AcceptedBody,
     admitted: TimedRequest,
   ): RoutedRequest {
-    const {
-      id,
-      route,
-      headReadAt,
-      estimatedArrivalAt,
-      aimAt,
-      deadline,
-    } = admitted;
+    const { id, route, headReadAt, estimatedArrivalAt, aimAt, deadline } = admitted;
     const commonHeaders = buildCommonHeaders(request);
     const length = body.kind === 'whole' ? body.data?.length : readLength(request);
     const outgoing = {
--- a/test/backlog.test.ts
+++ b/test/backlog.test.ts
@@ -150,11 +150,11 @@
       for (let index = 0; index < 4; index += 1) loop.add(`${turn}.${index}`);
       await loop.endIteration();
     }
-    const begun = loop.list('begun').length;
-    const refused = loop.outcomes.filter(({ outcome: fate }) => fate === 'refused');
-    expect(begun).to.be.greaterThan(150);
+    const started = loop.list('begun').length;
+    const refused = loop.outcomes.filter(({ outcome }) => outcome === 'refused');
+    expect(started).to.be.greaterThan(150);
     expect(refused.length).to.be.greaterThan(300);
-    expect(begun + refused.length + loop.backlog.size).to.equal(800);
+    expect(started + refused.length + loop.backlog.size).to.equal(800);
     // What is begun can still be in time, so no more waits than is begun in that time.
     expect(loop.backlog.size).to.be.lessThan(20);
     for (const { wait = 0 } of refused) expect(wait).to.be.at.least(100);
--- a/test/gateway.test.ts
+++ b/test/gateway.test.ts
@@ -470,7 +470,7 @@
     const [follower, home] = homes.includes(`${first}:${callersPort}`)
       ? [second, first]
       : [first, second];
-    site.disconnectStore(home);
+    site.cutStore(home);
     await pause(2000);
     for (const prefix of ['/b/', '/c/', '/d/', '/e/']) {
       site.configure([...RULES, { prefix }]);
--- a/test/helpers/gateways.ts
+++ b/test/helpers/gateways.ts
@@ -67,7 +67,7 @@
   readonly events: { readonly ip: string; readonly event: string; readonly fields: LogFields }[] =
     [];
 
-  readonly #disconnectedFromStore = new Set<string>();
+  readonly #cutOff = new Set<string>();
 
   /** What daemons that are created from now on are told of the agreed number of probes. */
   probesPerSecond = 60;
@@ -103,24 +103,22 @@
   }
 
   /** Cuts a gateway off from the store; calls that wait there bring nothing either. */
-  disconnectStore(ip: string): void {
-    this.#disconnectedFromStore.add(ip);
+  cutStore(ip: string): void {
+    this.#cutOff.add(ip);
   }
 
   #createStore(ip: string, address: Address, timeout: number): KvStore {
     const store = createKvStore(address, timeout);
-    const failure = { kind: 'unknown', reason: 'cut' } as const;
-    const failIfDisconnected = async <T>(call: Promise<T>) =>
-      (await call, this.#disconnectedFromStore.has(ip)) ? failure : call;
+    const cut = { kind: 'unknown', reason: 'cut' } as const;
+    const pass = async <T>(call: Promise<T>) => ((await call, this.#cutOff.has(ip)) ? cut : call);
     return {
-      readItem: (key, stale) => failIfDisconnected(store.readItem(key, stale)),
-      readItems: (prefix, after, stale) =>
-        failIfDisconnected(store.readItems(prefix, after, stale)),
-      watch: (prefix, after, wait) => failIfDisconnected(store.watch(prefix, after, wait)),
-      write: (write) => failIfDisconnected(store.write(write)),
-      remove: (removal) => failIfDisconnected(store.remove(removal)),
-      grantLease: (ttl) => failIfDisconnected(store.grantLease(ttl)),
-      renewLease: (lease) => failIfDisconnected(store.renewLease(lease)),
+      readItem: (key, stale) => pass(store.readItem(key, stale)),
+      readItems: (prefix, after, stale) => pass(store.readItems(prefix, after, stale)),
+      watch: (prefix, after, wait) => pass(store.watch(prefix, after, wait)),
+      write: (write) => pass(store.write(write)),
+      remove: (removal) => pass(store.remove(removal)),
+      grantLease: (ttl) => pass(store.grantLease(ttl)),
+      renewLease: (lease) => pass(store.renewLease(lease)),
       counts: () => store.counts(),
       close: () => store.close(),
     };
