--- a/src/gateway/requests/answers.ts
+++ b/src/gateway/requests/answers.ts
@@ -1,11 +1,11 @@
-/** The answers that the system gives by itself, and the passing on of a target's answer. */
+/** Writes answers to callers: those that the gateway generates itself and those of targets. */
 import type { ServerResponse } from 'node:http';
 import { listPairs } from '../../proxy/headers.js';
 import { HEADERS } from '../../platform/index.js';
 import type { TargetAnswer } from './attempt.js';
 
 /**
- * What a caller is told when there is no target's answer.
+ * An answer that the gateway generates when it has no target's answer to forward.
  *
  * `not-run` promises that the request has not run and never will; `unknown` promises nothing.
  */
@@ -35,13 +35,13 @@
   }
 }
 
-/** Headers that belong to one connection and not to the answer. */
+/** Headers that apply to one connection only and are not forwarded. */
 const HOP_BY_HOP_HEADERS = new Set([
   ...['connection', 'keep-alive', 'proxy-authenticate', 'proxy-connection', 'te', 'trailer'],
   ...['transfer-encoding', 'upgrade'],
 ]);
 
-/** Ends a response with what the caller is told. */
+/** Ends a response with a local answer; does nothing if the response has begun or was closed. */
 export function writeLocalAnswer(
   response: ServerResponse,
   requestId: string,
@@ -61,7 +61,7 @@
   response.end(body);
 }
 
-/** Passes a target's answer on, unaltered but for what belongs to its connection. */
+/** Forwards a target's answer unchanged, except for headers that apply to its connection only. */
 export function forwardAnswer(response: ServerResponse, answer: TargetAnswer): void {
   const headers: string[] = [];
   for (const [name, value] of listPairs(answer.rawHeaders)) {
@@ -73,7 +73,8 @@
   const { rest, body, status } = answer;
   const hasBody = status !== 204 && status !== 304;
   if (hasBody && !answer.isDelimited) {
-    // Nobody can tell whether such an answer broke off; a length of ours would say that it did not.
+    // It can't be known whether such an answer was truncated, so it gets no Content-Length: that
+    // would declare it complete.
     response.shouldKeepAlive = false;
     response.useChunkedEncodingByDefault = false;
   }
--- a/src/gateway/requests/attempt.ts
+++ b/src/gateway/requests/attempt.ts
@@ -1,8 +1,8 @@
 /**
- * One attempt at one target: sends a request and says truthfully what became of it.
+ * One attempt to send a request to one target, and its exact outcome.
  *
- * The answer is held until it is whole, up to a limit, so a broken one can be replaced by another
- * attempt and never looks complete. What is longer is passed on as it comes.
+ * An answer is buffered until it is complete, up to a limit, so that a truncated one can be
+ * replaced by another attempt and never looks complete. Longer answers are streamed to the caller.
  */
 import http from 'node:http';
 import type { IncomingMessage } from 'node:http';
@@ -12,7 +12,7 @@
 import { type TargetConnection, parseIdleLimit } from '../targets/connections.js';
 import type { GatewayTarget } from '../targets/target.js';
 
-/** What is sent. */
+/** A request as it is sent to a target. */
 export interface OutgoingRequest {
   readonly requestId: string;
   readonly method: string;
@@ -22,7 +22,10 @@
   readonly body: Buffer | Readable | undefined;
 }
 
-/** A target's answer. The body is whole, or its first part with the stream of the rest. */
+/**
+ * A target's answer. The body is complete, or `body` is its first part and `rest` the stream of the
+ * remainder.
+ */
 export interface TargetAnswer {
   readonly status: number;
   readonly rawHeaders: readonly string[];
@@ -30,7 +33,10 @@
   readonly rest: IncomingMessage | undefined;
   /** Whether the target signed it. */
   readonly isSigned: boolean;
-  /** Whether it told its length, or came in chunks; else only its connection's end ended it. */
+  /**
+   * Whether it has a Content-Length or is chunked; otherwise only the close of the connection ends
+   * it.
+   */
   readonly isDelimited: boolean;
 }
 
@@ -39,42 +45,48 @@
   | { readonly kind: 'answered'; readonly answer: TargetAnswer }
   /** No byte was sent. */
   | { readonly kind: 'not-connected'; readonly reason: string }
-  /** No byte was sent, as the target takes no calls any more since it was chosen. */
+  /** No byte was sent, because the target stopped taking calls after it was chosen. */
   | { readonly kind: 'withdrawn' }
-  /** The target said that it did not run the request. */
+  /** The target reported that it did not run the request. */
   | { readonly kind: 'not-run'; readonly cause: 'shed' | 'misdirected' }
-  /** It was sent and no whole answer came; `isEnded` tells whether its target has ended. */
+  /**
+   * The request was sent and no complete answer came; `hasTargetEnded` says whether the target has
+   * ended.
+   */
   | { readonly kind: 'lost'; readonly reason: string; readonly hasTargetEnded: boolean }
-  /** Given up by this daemon; `sent` tells whether the target may have had it. */
+  /** Aborted by this daemon; `isSent` says whether the target may have received the request. */
   | { readonly kind: 'cancelled'; readonly isSent: boolean };
 
-/** When parts of an attempt were done, in milliseconds from its start. */
+/**
+ * When the connection and the head of the answer were ready, in milliseconds from the start of the
+ * attempt.
+ */
 export interface AttemptTiming {
   connected: number;
   head: number;
 }
 
-/** A running attempt. */
+/** An attempt that is in progress. */
 export interface RunningAttempt {
   readonly timing: AttemptTiming;
-  /** Calls at the target when this one started, itself included. */
+  /** Calls at the target when this one started, including this one. */
   readonly callsAtStart: number;
   readonly target: GatewayTarget;
   readonly startedAt: number;
   readonly done: Promise<AttemptOutcome>;
-  /** Gives it up; the target sees its connection close. */
+  /** Aborts the attempt and closes its connection to the target. */
   abort(): void;
 }
 
-/** Longest answer that is held whole, in bytes: many times the users' longest. */
+/** Longest answer that is buffered, in bytes: many times the users' longest. */
 const MAX_BUFFERED_ANSWER_BYTES = 262_144;
 
-/** How long a connection may have rested when it carries what must not run twice. */
+/** Longest idle time of a connection that may carry a request which must not run twice. */
 const MAX_UNSAFE_IDLE_MS = 1500;
 
 const MAX_REPEATABLE_IDLE_MS = Infinity;
 
-/** Statuses from here on say that the target failed. */
+/** Answers with this status or a higher one count as failures of the target. */
 export const MIN_FAILURE_STATUS = 500;
 
 class TargetAttempt implements RunningAttempt {
@@ -139,7 +151,9 @@
     this.#resolve(outcome);
   }
 
-  /** Settles an attempt that brought no whole answer, once it is known what became of its target. */
+  /**
+   * Settles an attempt that got no complete answer, after checking whether its target has ended.
+   */
   #settleLost(reason: string): void {
     if (this.#isSettled) return;
     this.#isSettled = true;
@@ -194,7 +208,7 @@
 
   #applyReport(report: SelfReport, status: number): void {
     const { target, startedAt } = this;
-    // The answered call is still counted here, and no longer there.
+    // The answered call is still counted on this side, but no longer in the target's report.
     const ownCalls = target.load.countArrived(this.clock.now()) - 1;
     const isSuccess = !report.isRejected && report.isSigned && status < MIN_FAILURE_STATUS;
     target.receiveReport(report, { sentAt: startedAt, ownCalls, isSuccess });
@@ -235,7 +249,7 @@
   }
 }
 
-/** Starts an attempt at a target where the call is counted already. */
+/** Starts an attempt at a target that already counts the call. */
 export function startTargetAttempt(
   target: GatewayTarget,
   outgoing: OutgoingRequest,
--- a/src/gateway/requests/backlog.ts
+++ b/src/gateway/requests/backlog.ts
@@ -1,34 +1,36 @@
 /**
- * Requests that were read and are not begun yet: the line for this daemon's own processor.
+ * Requests that have been read but not started: the queue for this daemon's own CPU.
  *
- * The pattern answered: more requests than the daemon can handle, as in a burst or when callers repeat. The
- * event loop accepts one connection in a turn and serves what it reads in the same turn, so with more work
- * than time connections wait for seconds where nothing sees them; when they are read their callers have
- * left, and the time goes to them. So reading goes before beginning. What has come is read as far as
- * possible, nothing is begun for a caller that has left, a few requests are begun in a turn, and the
- * others are ordered and judged as those that wait for a target, with the processor's own pace.
+ * It handles more requests than the daemon can process, as in a burst or when callers retry. The
+ * event loop accepts one connection per iteration and serves what it reads in the same iteration.
+ * Under overload, connections would wait for seconds in the listen queue, where nothing can order
+ * or refuse them; by the time they are read their callers have left, and the CPU time is spent on
+ * them. So reading has priority over starting: all pending input is read as far as possible,
+ * nothing is started for a caller that has left, only a few requests are started per iteration, and
+ * the others are ordered and refused like calls that wait for a target, at the pace of the daemon's
+ * own CPU.
  *
- * What it buys: more calls are served, none is held on past its time-out, and hardly any is sent on for a caller that
- * has left (`test/overdue.test.ts`).
+ * As a result, more calls are served, none is held past its time-out, and hardly any is forwarded
+ * for a caller that has left (`test/overdue.test.ts`).
  */
 import { DecayingMean, type QueuedCall, QuantileEstimate, WaitQueue } from '../../balance/index.js';
 import type { Clock, Random } from '../../kernel/index.js';
 import type { EventLoopMonitor } from '../event-loop-monitor.js';
 
-/** A request that was read. Times are on the clock, in milliseconds. */
+/** A request that was read. Times are on the kernel's clock, in milliseconds. */
 export interface BacklogCall extends QueuedCall {
-  /** When it is estimated to have come. */
+  /** When it is estimated to have arrived at this machine. */
   readonly estimatedArrivalAt: number;
   /** Whether its caller has left. */
   readonly hasCallerLeft: () => boolean;
   readonly start: () => void;
-  /** Tells its caller that it has not run, and after how long it may return. */
+  /** Answers that it has not run and may be retried after `wait` milliseconds. */
   readonly refuse: (wait: number) => void;
   /** Ends it without an answer. */
   readonly drop: () => void;
 }
 
-/** What the backlog is made from. */
+/** Dependencies of the backlog. */
 export interface BacklogOptions {
   readonly clock: Pick<Clock, 'now'>;
   readonly random: Random;
@@ -39,68 +41,80 @@
 }
 
 /**
- * Time in a turn for beginning requests, in milliseconds. What was begun makes about twice as much work in later
- * turns, so turns stay near three times this: below what callers with aims of 100 ms notice.
+ * Time per event-loop iteration for starting requests, in milliseconds. Started requests cause
+ * about twice as much work in later iterations, so an iteration takes about three times this: too
+ * short to be noticed by callers with target latencies of 100 ms.
  */
 const MAX_START_TIME_MS = 5;
 
 /**
- * While connections wait to be accepted nothing is begun until this many were. A count, as the processor may be
- * taken away at any moment: they take as much time as what is begun in a turn.
+ * While connections wait to be accepted, nothing is started until this many more were accepted. It
+ * is a count and not a time, since the CPU may be taken away at any moment; accepting them takes as
+ * long as the requests started in one iteration.
  */
 const MAX_ACCEPTS_BEFORE_START = 12;
 
 /**
- * A request that may have lain unread for longer than this is begun after one more look at its connection:
- * its caller's leaving is read in a turn of its own. In milliseconds, shorter than any caller waits. The same
- * holds for every request while connections may come whose callers have waited elsewhere, and left.
+ * A request that may have been unread for longer than this is started only after its connection was
+ * polled once more, because the caller's close is read in an iteration of its own. In milliseconds;
+ * shorter than any caller waits. The same applies to every request while connections may arrive
+ * whose callers have waited in the kernel unseen and left.
  */
 const MAX_UNREAD_TIME_MS = 20;
 
-/** Time to begin the first request, with code that is cold, in milliseconds. */
+/** Initial estimate of the time to start a request, before the code is warm, in milliseconds. */
 const INITIAL_COST_MS = 2;
 
-/** The pace follows some dozens of requests, in milliseconds. */
+/** Half-life of the mean interval between starts, in milliseconds: some dozens of requests. */
 const PACE_HALF_LIFE_MS = 500;
 
-/** Requests begun in one turn at most, however cheap they seem: each sends to a target at once. */
+/**
+ * Most requests started in one iteration, however cheap they are: each one sends to a target at
+ * once.
+ */
 const MAX_BATCH_SIZE = 64;
 
 /** The backlog of one daemon. */
 export class Backlog {
   readonly #queue: WaitQueue<BacklogCall>;
 
-  /** Requests that came since the last look at all connections. */
+  /** Requests that were added since all connections were last polled. */
   #unpolled = new Set<BacklogCall>();
 
-  /** Time to begin one: the median, since the processor may be taken away while one is begun. */
+  /** Time to start one request: the median, since the CPU may be taken away meanwhile. */
   readonly #startCost = new QuantileEstimate(0.5);
 
   readonly #pace = new DecayingMean(PACE_HALF_LIFE_MS);
 
   #isScheduled = false;
 
-  /** Connections accepted when something was begun last. */
+  /** Connections accepted when requests were last started. */
   #acceptedAtLastStart = 0;
 
-  /** The last turn with requests left over, and how many it began; undefined when none are. */
+  /**
+   * The last iteration that left requests waiting, and how many it started; undefined when none are
+   * left.
+   */
   #lastPartialBatch: { readonly at: number; readonly startedCount: number } | undefined;
 
   constructor(private readonly options: BacklogOptions) {
     this.#queue = new WaitQueue(options.clock, options.random);
   }
 
-  /** Requests that wait. */
+  /** Number of waiting requests. */
   get size(): number {
     return this.#queue.size;
   }
 
-  /** Time between two beginnings while requests wait, in milliseconds. */
+  /** Time between two starts while requests wait, in milliseconds. */
   get pace(): number {
     return this.#pace.read(this.#startCost.read(INITIAL_COST_MS));
   }
 
-  /** Takes a request: it is begun at the end of this turn, or waits for a later one, or is refused. */
+  /**
+   * Adds a request: it starts at the end of this event-loop iteration, waits for a later one, or is
+   * refused.
+   */
   add(call: BacklogCall): void {
     this.#queue.recordArrival(call);
     this.#queue.updatePace(this.pace, 1);
@@ -129,7 +143,7 @@
       startedCount = this.#startBatch(startedAt);
       this.#schedule();
     });
-    // Runs after all that the requests begun do at once.
+    // Runs after the synchronous work of the started requests.
     this.options.eventLoop.scheduleAfterIteration(() => {
       if (startedCount > 0)
         this.#startCost.add((this.options.clock.now() - startedAt) / startedCount);
@@ -143,7 +157,7 @@
     return Math.min(MAX_BATCH_SIZE, Math.max(1, count));
   }
 
-  /** Begins the requests whose turn has come; returns how many. */
+  /** Starts the next requests and returns how many. */
   #startBatch(now: number): number {
     const unpolled = this.#unpolled;
     this.#unpolled = new Set();
@@ -180,7 +194,7 @@
     return startedCount;
   }
 
-  /** Learns the pace from turns after which requests were left over. */
+  /** Updates the mean interval between starts, from iterations that left requests waiting. */
   #recordPace(startedCount: number, now: number): void {
     const previous = this.#lastPartialBatch;
     if (previous !== undefined && previous.startedCount > 0) {
--- a/src/gateway/requests/caller-disconnect.ts
+++ b/src/gateway/requests/caller-disconnect.ts
@@ -1,20 +1,24 @@
 /**
- * Tells when the caller of a request has left.
+ * Detects that the caller of a request has left.
  *
- * The end of what a caller sends comes a turn of the event loop or two before its connection counts as
- * closed. On a machine that is far too slow such turns take hundreds of milliseconds, in which requests
- * went to targets for callers that were known to be gone; so the end counts. Callers that send nothing more
- * and still wait for an answer are not served either way: the listener closes their connections.
+ * A caller's end of stream (FIN) is read one or two event-loop iterations before its connection
+ * counts as closed. On an overloaded machine such iterations take hundreds of milliseconds, during
+ * which requests were forwarded for callers that had left. So the end of the stream counts. Callers
+ * that close their sending side and still wait for an answer get none either way: the listener
+ * closes their connections.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
-/** Whether the caller has left. */
+/** Whether the caller has closed its connection or its sending side. */
 export function hasCallerLeft(request: IncomingMessage, response: ServerResponse): boolean {
   const { socket } = request;
   return response.destroyed || socket.destroyed || socket.readableEnded;
 }
 
-/** Calls `onLeft` when the caller leaves before its answer is complete; returns what ends the watch. */
+/**
+ * Calls `onDisconnect` when the caller leaves before its answer is complete; returns a function
+ * that stops watching.
+ */
 export function watchDisconnect(
   request: IncomingMessage,
   response: ServerResponse,
--- a/src/gateway/requests/caller-server.ts
+++ b/src/gateway/requests/caller-server.ts
@@ -1,18 +1,24 @@
-/** The listener for callers: connections that are kept, drained and closed without losing a request. */
+/**
+ * The listener for callers: keeps connections alive, drains them and closes them without losing a
+ * request.
+ */
 import http, { type IncomingMessage, type ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
 import type { Address, Clock } from '../../kernel/index.js';
 import type { RequestLimits } from '../../routing/index.js';
 import type { AcceptMark, EventLoopMonitor } from '../event-loop-monitor.js';
 
-/** What the listener is made from. */
+/** Dependencies of the listener. */
 export interface CallerServerOptions {
   readonly address: Address;
   readonly clock: Clock;
   readonly eventLoop: EventLoopMonitor;
-  /** Connections that may wait to be accepted. */
+  /** Length of the listen queue: connections that may wait to be accepted. */
   readonly listenQueue: number;
-  /** `cameAt` is when the request is estimated to have come, on the clock. */
+  /**
+   * Handles a request; `estimatedArrivalAt` is when it is estimated to have arrived, on the
+   * kernel's clock.
+   */
   readonly serve: (
     request: IncomingMessage,
     response: ServerResponse,
@@ -20,10 +26,16 @@
   ) => void;
 }
 
-/** Longest head that the parser takes; the operators' own limit is checked after it. */
+/**
+ * Longest head that the parser accepts, in bytes; the operators' own limit is checked after
+ * parsing.
+ */
 const MAX_PARSED_HEADER_BYTES = 131_072;
 
-/** A connection is kept a little longer than callers are told, so that none meets its close. */
+/**
+ * Connections are kept open this much longer than callers are told, so that no caller sends into a
+ * close. In milliseconds.
+ */
 const IDLE_MARGIN_MS = 1000;
 
 const DEFAULT_HEADER_TIMEOUT_MS = 10_000;
@@ -37,25 +49,30 @@
   ERR_HTTP_REQUEST_TIMEOUT: REQUEST_TIMEOUT,
 };
 
-/** How long a connection that this daemon closes is read from, for a request that crosses the close. */
+/**
+ * How long input is still read from a connection that this daemon closes, for a request that
+ * crosses the close.
+ */
 const LINGER_MS = 150;
 
-/** Connections that a whole core accepts, reads and refuses in a second. */
+/** Connections that a whole core accepts, reads and refuses per second. */
 const ACCEPTS_PER_CORE_SECOND = 1000;
 
 /**
- * Nothing sees a connection before it is accepted, so what waits there must not be old: callers that have
- * waited this long and are refused can still be served elsewhere, in milliseconds.
+ * Longest wait in the listen queue, in milliseconds. Connections can't be inspected before they are
+ * accepted, so they must not wait long: a caller refused after this time can still be served by
+ * another daemon.
  */
 const MAX_LISTEN_WAIT_MS = 200;
 
 const MIN_LISTEN_QUEUE = 16;
 
 /**
- * Computes how many connections may wait to be accepted. When more come, callers get no connection and turn
- * to another daemon; in a longer queue they waited until they left, and were accepted after that.
+ * Computes the length of the listen queue. When it is full, further callers get no connection and
+ * turn to another daemon; in a longer queue they would wait until they left and be accepted after
+ * that.
  *
- * @param capacity cores of this machine, as a number that may be below 1
+ * @param capacity number of CPU cores that this machine has for the daemon; may be below 1
  */
 export function computeListenQueue(capacity: number): number {
   return Math.max(
@@ -77,13 +94,13 @@
 
   #isClosing = false;
 
-  /** Connections on which a refusal of the whole connection was written. */
+  /** Connections on which an answer was written that refuses everything else on the connection. */
   readonly #refused = new WeakSet<Socket>();
 
-  /** Answers that will close their connections. */
+  /** The answer that will close each connection. */
   readonly #closingResponses = new WeakMap<Socket, ServerResponse>();
 
-  /** When connections were accepted that have not carried a request yet. */
+  /** When each connection was accepted, until its first request. */
   readonly #acceptMarks = new WeakMap<Socket, AcceptMark>();
 
   /** Bytes that had been read from a connection when its last request ended. */
@@ -102,7 +119,7 @@
     this.#server.maxHeadersCount = 0;
     this.#server.on('connection', (socket: Socket) => {
       this.#activeRequests.set(socket, 0);
-      // Each request that came behind another one listens for the caller's leaving.
+      // Each pipelined request adds listeners that watch for the caller's disconnect.
       socket.setMaxListeners(0);
       this.#acceptMarks.set(socket, options.eventLoop.recordAccept());
       this.accepted += 1;
@@ -120,7 +137,7 @@
         socket.destroy();
         return;
       }
-      // Whatever else comes on this connection has been told that it will not run.
+      // The answer below promises that whatever else arrives on this connection will not run.
       this.#refused.add(socket as Socket);
       const { bytesRead } = socket as Socket;
       if (
@@ -135,7 +152,7 @@
     });
   }
 
-  /** Starts listening. */
+  /** Starts listening; rejects if the address can't be bound. */
   listen(): Promise<void> {
     const { host, port } = this.options.address;
     return new Promise((resolve, reject) => {
@@ -144,33 +161,33 @@
     });
   }
 
-  /** Takes the operators' limits for connections. */
+  /** Applies the operators' time-outs for connections. */
   setLimits(limits: RequestLimits): void {
     const { headerTimeout, idleTimeout } = limits;
     if (Number.isFinite(headerTimeout)) this.#server.headersTimeout = headerTimeout;
     if (Number.isFinite(idleTimeout)) this.#server.keepAliveTimeout = idleTimeout + IDLE_MARGIN_MS;
   }
 
-  /** Requests that are being served. */
+  /** Counts the requests in progress. */
   countActive(): number {
     let active = 0;
     for (const count of this.#activeRequests.values()) active += count;
     return active;
   }
 
-  /** Connections open now. */
+  /** Counts the open connections. */
   countConnections(): number {
     return this.#activeRequests.size;
   }
 
-  /** From now on answers tell callers to close their connections; those at rest stay usable. */
+  /** From now on answers tell callers to close their connections; idle ones stay usable. */
   drain(): void {
     this.#isDraining = true;
   }
 
   /**
-   * Closes connections at rest. A request that crosses the close is not passed on: its caller can
-   * tell from the closed connection that it was not read.
+   * Closes idle connections. A request that crosses the close is not forwarded: its caller can tell
+   * from the closed connection that it was not read.
    */
   async closeIdle(): Promise<void> {
     this.#isClosing = true;
@@ -180,7 +197,7 @@
     await this.options.clock.sleep(LINGER_MS);
   }
 
-  /** Stops listening and closes everything. */
+  /** Stops listening and closes all connections. */
   close(): void {
     this.#server.close();
     for (const socket of this.#activeRequests.keys()) socket.destroy();
@@ -207,9 +224,9 @@
   }
 
   /**
-   * Makes the last answer on a connection the one that closes it, so that none behind it is cut off.
-   * False when an answer that closes is on its way already: what comes behind it counts as not read, and
-   * must not be passed on.
+   * Makes this answer the one that closes the connection, in place of an earlier one, so that no
+   * request pipelined behind that one is cut off. Returns false when a closing answer has been sent
+   * already: later requests then count as not read and must not be forwarded.
    */
   #setClosingResponse(socket: Socket, response: ServerResponse): boolean {
     const previous = this.#closingResponses.get(socket);
--- a/src/gateway/requests/forwarding.ts
+++ b/src/gateway/requests/forwarding.ts
@@ -1,10 +1,10 @@
 /**
- * Serves one request: picks a target, watches over the attempt, and where it is allowed and worth it
- * repeats the request at another target.
+ * Serves one request: chooses a target, monitors the attempt, and retries or hedges the request at
+ * another target where that is allowed and worthwhile.
  *
- * What holds on every path: a request that may not be repeated is sent again only after each earlier
- * sending was shown not to have run; *not run* is said only when no sending may have run; and a
- * request that is given up gets its answer at once.
+ * On every path: a request that may not be repeated is sent again only after each earlier attempt
+ * was shown not to have run; `not-run` is answered only when no attempt may have run; and a request
+ * that is given up is answered at once.
  */
 import type { ServerResponse } from 'node:http';
 import type { Clock, Log, TextMetrics, Timer } from '../../kernel/index.js';
@@ -38,39 +38,39 @@
 import type { GatewayTarget } from '../targets/target.js';
 import type { TargetService } from '../targets/target-service.js';
 
-/** A request that was read and found its route. */
+/** A request that was read and matched to a route. */
 export interface RoutedRequest {
   readonly id: string;
   readonly route: Route;
   readonly service: TargetService;
-  /** When its head was read, on the kernel's clock. */
+  /** When its head was read, in milliseconds on the kernel's clock. */
   readonly headReadAt: number;
-  /** When it is estimated to have come, on the same clock. */
+  /** When it is estimated to have arrived at this machine, on the same clock. */
   readonly estimatedArrivalAt: number;
-  /** When an answer that leaves here stops to be fully useful to the caller. */
+  /** Until when an answer that leaves this daemon is fully useful to the caller. */
   readonly aimAt: number;
   /** When it is given up. */
   readonly deadline: number;
   readonly method: string;
   readonly path: string;
-  /** What makes another try the same request. */
+  /** Recognises other tries of the same request. */
   readonly identity: RequestIdentity;
   readonly body: OutgoingRequest['body'];
   /** Length of the body, as far as it is known. */
   readonly bodyBytes: number;
-  /** Builds the headers for a target, given the time left. */
+  /** Builds the headers for a target, given the time left in milliseconds. */
   readonly buildHeaders: (target: GatewayTarget, timeLeft: number) => readonly string[];
 }
 
-/** What forwarding uses besides the request. */
+/** Dependencies of forwarding. */
 export interface ForwardingContext {
   readonly clock: Clock;
   readonly log: Log;
-  /** What the requests of this route have taught of their work. */
+  /** Estimates of how long calls of this route take. */
   readonly routeTime: RouteTime;
   readonly counts: ForwardingCounts;
   readonly metrics: TextMetrics;
-  /** Knows the requests under which targets end. */
+  /** Registry of requests under which targets have ended. */
   readonly poison: PoisonRegistry;
 }
 
@@ -85,7 +85,7 @@
   hedges: number;
 }
 
-/** What can happen while a request is served. */
+/** An event that a request in progress reacts to. */
 type ForwardingEvent =
   | { readonly kind: 'ended'; readonly attempt: RunningAttempt; readonly outcome: AttemptOutcome }
   | { readonly kind: 'placed'; readonly placement: PlacementResult }
@@ -93,32 +93,38 @@
   | { readonly kind: 'deadline' }
   | { readonly kind: 'gone' };
 
-/** How often a request that may be repeated looks whether another target would be quicker. */
+/** Interval between checks whether a hedge to another target would be quicker, in milliseconds. */
 const MIN_HEDGE_CHECK_INTERVAL_MS = 40;
 
-/** Where its work takes long, it looks this part of that apart: a tenth later matters to nobody. */
+/**
+ * For longer calls, the interval is this fraction of their expected time: a hedge that much later
+ * makes no difference.
+ */
 const HEDGE_CHECK_FRACTION = 0.1;
 
-/** From this expected slowdown on it is not sure that a target was quick. */
+/** Above this expected slowdown it is not certain that a target was quick. */
 const MAX_CERTAIN_SLOWDOWN = 1.5;
 
-/** No attempt is begun with less time left than this, in milliseconds. */
+/** No attempt is started with less time left than this, in milliseconds. */
 const MIN_ATTEMPT_TIME_MS = 5;
 
 /**
- * When a caller may return whose request a target rejected, though no call waits for one, in milliseconds. Nothing
- * has to end first: others have room, and what it sends anew takes nothing of the fleet's budget for repeats. Later
- * its answer would be late.
+ * Retry-After for a request that a target rejected while no call is queued, in milliseconds. Other
+ * targets have free slots, so nothing has to end first, and the caller's retry doesn't count
+ * against the fleet's retry budget. After a longer wait its answer would be late.
  */
 const REJECTED_RETRY_AFTER_MS = 20;
 
-/** Statuses that promise a caller that its request did not run; only we may say so, with proof. */
+/**
+ * Statuses that promise a caller that its request did not run. Only the gateway may send them,
+ * after checking that this is true.
+ */
 const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 
-/** Why a request is ended without a target's answer. */
+/** Why a request ends without a target's answer. */
 type GiveUpReason = PlacementRefusal | 'timeout' | 'lost' | 'poison';
 
-/** Gives back a slot that is not used after all. */
+/** Releases a slot that was assigned and will not be used. */
 function releaseSlot(result: PlacementResult): void {
   if (result.kind === 'target') result.target.load.finish();
 }
@@ -146,7 +152,7 @@
   /** The call in the service's queue, while it waits there. */
   #queuedCall: SlotCall | undefined;
 
-  /** How carefully the request is placed, when targets have ended under it. */
+  /** Restrictions on where the request may be placed; set once a target has ended under it. */
   #suspectConstraints: SuspectConstraints | undefined;
 
   readonly #onTargetSlow = () => this.#pushEvent({ kind: 'look' });
@@ -164,7 +170,7 @@
     return this.request.route.kind === 'repeatable';
   }
 
-  /** Serves the request to its end. */
+  /** Serves the request until it is answered or given up. */
   async run(): Promise<void> {
     const { clock } = this.context;
     const { request } = this;
@@ -188,7 +194,7 @@
     }
   }
 
-  /** Gives the request up, because its caller has left. */
+  /** Cancels the request because its caller has left. */
   cancel(): void {
     for (const attempt of this.#runningAttempts) attempt.abort();
     this.#pushEvent({ kind: 'gone' });
@@ -236,7 +242,7 @@
     }
   }
 
-  /** Asks for a target; the attempt starts when there is one. */
+  /** Asks the service's queue for a target; the attempt starts when there is one. */
   #askForTarget(): void {
     const { request } = this;
     const { clock, routeTime } = this.context;
@@ -273,7 +279,7 @@
       .catch((error: Error) => this.context.log.error('request.broken', { error: error.message }));
   }
 
-  /** Whether the request may be sent; one under which targets end is given up. */
+  /** Whether the request may be sent. Gives it up when it is held out as a poison request. */
   #mayBeSent(): boolean {
     const decision = this.context.poison.check(this.request);
     switch (decision.kind) {
@@ -291,7 +297,7 @@
     }
   }
 
-  /** Starts an attempt at the target that was given, or tells the caller that there is none. */
+  /** Starts an attempt at the assigned target, or answers that there is none. */
   #handlePlacement(result: PlacementResult): void {
     this.#queuedCall = undefined;
     const timeLeft = this.request.deadline - this.context.clock.now();
@@ -304,7 +310,7 @@
       this.#giveUp('timeout');
       return;
     }
-    // What is known of the request may have changed while it waited.
+    // The request may have become a suspect, or been cleared, while it waited.
     if (this.#mayBeSent()) this.#startAttempt(result.target, timeLeft);
     else releaseSlot(result);
   }
@@ -335,7 +341,10 @@
       .catch((error: Error) => this.context.log.error('request.broken', { error: error.message }));
   }
 
-  /** Keeps copies of a suspect from being sent, and other suspects from its target, while it runs. */
+  /**
+   * While a suspect runs, keeps copies of it from being sent and other suspects away from its
+   * target.
+   */
   #watchSuspect({ target, done }: RunningAttempt): void {
     const { poison, log } = this.context;
     poison.recordStart(this.request, target);
@@ -391,11 +400,13 @@
     }
   }
 
-  /** Notes that a target ended under the request, or that this may still turn out. */
+  /**
+   * Records that a target ended under the request, or arranges for it if that is found out later.
+   */
   #recordLoss({ target, startedAt }: RunningAttempt, hasTargetEnded: boolean): void {
     const { poison, clock } = this.context;
     const { id, route, service, path, identity } = this.request;
-    // What is kept for a while holds no body.
+    // This object is kept for some seconds, so it must not hold the body.
     const lost = { id, route, service, path, fingerprints: identity.fingerprints };
     const times = { startedAt, lostAt: clock.now() };
     if (hasTargetEnded) poison.recordTargetEnd(lost, target, times);
@@ -405,7 +416,8 @@
   #handleAnswer(attempt: RunningAttempt, answer: TargetAnswer): void {
     const { target } = attempt;
     const isFailure = answer.status >= MIN_FAILURE_STATUS;
-    // A target that fails what it gets may have answered before it began.
+    // A failing target may have answered before it began to run the request, so that clears no
+    // request.
     if (!isFailure && answer.rest === undefined) this.context.poison.recordAnswer(this.request);
     if (isFailure) {
       target.recordFailure();
@@ -430,7 +442,10 @@
     forwardAnswer(this.response, answer);
   }
 
-  /** Learns the route's work, and how much longer it takes at a target that is nearly full. */
+  /**
+   * Updates the estimates of the route's call time, and of how much longer calls take at a nearly
+   * full target.
+   */
   #learnCallTime(attempt: RunningAttempt): void {
     const { clock, routeTime } = this.context;
     const { service } = this.request;
@@ -440,7 +455,8 @@
     const slowdown = slowdownHistory.estimate(attempt.startedAt, pattern);
     const time = now - attempt.startedAt;
     const expectedWork = routeTime.readWork();
-    // How slow it was at the start is not sure otherwise, and a slow call would count for more work.
+    // Otherwise the slowdown at the start is uncertain, and a slow target would raise the estimate
+    // of the call time.
     if (slowdown > MAX_CERTAIN_SLOWDOWN) return;
     routeTime.recordRatio(time / (expectedWork * slowdown));
     const running = (load.lastReport?.running ?? load.inFlight) + 1;
@@ -454,7 +470,7 @@
     service.recordWork(work);
   }
 
-  /** Sends the request once more, after an attempt that brought nothing. */
+  /** Retries the request after a failed attempt, or gives it up. */
   #tryAgain(reason: 'no-room' | 'lost'): void {
     if (this.#runningAttempts.size > 0) return;
     const isAllowed = this.#isRepeatable || !this.#ledger.mayHaveRun;
@@ -466,7 +482,10 @@
     this.#giveUp(reason);
   }
 
-  /** Whether one more target may get the request: the route's attempts, and the fleet's budget. */
+  /**
+   * Whether one more attempt is allowed, by the route's limit and the fleet's retry budget; takes
+   * it from the budget.
+   */
   #spendRetry(): boolean {
     const { route, service, body } = this.request;
     if (this.#attemptCount >= route.maxAttempts) return false;
@@ -488,7 +507,10 @@
     if (this.#timers.length > 2) this.#timers = [this.#timers[0], ...this.#timers.slice(-1)];
   }
 
-  /** Begins a second attempt when the first is expected to be late and the second not to be. */
+  /**
+   * Starts a hedge when the running attempt is expected to be late and another target to be
+   * quicker.
+   */
   #tryHedge(): void {
     const { clock, routeTime } = this.context;
     const { route, service, aimAt, deadline, bodyBytes } = this.request;
@@ -508,8 +530,8 @@
     const times = { untilAim: aimAt - now, untilDeadline: deadline - now };
     const hedgeReason = findSecondAttemptReason(first, times);
     if (hedgeReason === 'none') return;
-    // A second attempt takes a slot. While others wait for one it is worth it only if it frees one
-    // that would be held for long.
+    // A hedge takes a slot. While other calls wait for one, it is worthwhile only if it frees a
+    // slot that would be occupied for long.
     if (service.queue.size > 0 && hedgeReason !== 'rescue') return;
     const choice = service.chooseTarget(
       { tried: this.#triedTargets, work, bodyBytes, regions: route.regions },
@@ -539,13 +561,13 @@
     this.#sendLocalAnswer({ kind: 'unknown', reason: reason === 'timeout' ? 'timeout' : 'lost' });
   }
 
-  /** When a caller may return whom the queue gave no time for that. */
+  /** Chooses when a caller may retry, where the queue gave no time. */
   #chooseRetryAfter(): number {
     const { service } = this.request;
     const backoff = service.readBackoffRemaining();
     if (backoff !== undefined) return backoff;
     const isRejected = this.#attemptCount > 0 && service.queue.size === 0;
-    // Within the time of one call some target will have ended one.
+    // Some target will have finished a call within the time of one call.
     return isRejected ? REJECTED_RETRY_AFTER_MS : this.context.routeTime.readWork();
   }
 
--- a/src/gateway/requests/latency-budget.ts
+++ b/src/gateway/requests/latency-budget.ts
@@ -1,42 +1,44 @@
 /**
- * How much of a route's aim is left when a request arrives.
+ * How much of a route's target latency is left when a request arrives.
  *
- * A caller counts from its first try: before a request is sent it may have looked up addresses, opened
- * a connection, or been sent back or cut off here already. The time left that it states tells how long
- * all that took, against the time that callers of the route have at first.
+ * A caller counts from its first try: before a request is sent it may have looked up addresses,
+ * opened a connection, or been refused or disconnected by this daemon. The remaining time that the
+ * request states shows how long all that took, compared with the time that callers of the route
+ * have at first.
  *
- * The pattern answered: callers who are not equally patient. Where first tries state times that lie 15 in 100 apart, and
- * a route's aim is shorter than that, measuring all against the longest one takes nearly every request for late, and
- * late ones go behind and are given up sooner. So how far first tries lie apart is learnt, and the least patient ones
- * are what others are measured against.
+ * It handles callers with different time-outs. Where the times of first tries differ by 15% and a
+ * route's target latency is shorter than that difference, comparing all requests with the longest
+ * time would treat nearly all of them as late; late ones queue behind the others and are given up
+ * sooner. So the spread of first tries is estimated, and requests are compared with the shortest
+ * time of a first try.
  */
 import type { Route } from '../../routing/index.js';
 
-/** The way of a request and its answer, in milliseconds: callers are about 8 ms away. */
+/** Round trip between caller and daemon, in milliseconds: callers are about 8 ms away. */
 const ROUND_TRIP_MS = 16;
 
-/** A stated time counts as what callers have at first once this many stated as much. */
+/** A time counts as that of first tries once this many requests stated as much. */
 const MIN_STATED_COUNT = 3;
 
-/** What nobody has stated for two such periods is forgotten, in milliseconds. */
+/** Times that no request stated during two such periods are forgotten, in milliseconds. */
 const PERIOD_MS = 30_000;
 
-/** Stated times of late from which it is learnt how far those of first tries lie apart. */
+/** Latest stated times from which the spread of first tries is estimated. */
 const MAX_SAMPLES = 64;
 
-/** It is worked out anew after this many, and from so many on. */
+/** The spread is estimated anew, and first, after this many stated times. */
 const SPREAD_UPDATE_COUNT = 16;
 
 /**
- * Callers that return state less than all first tries do, and may be many: so only the upper quarter is looked at, and
- * the spread taken for four times what separates it from the longest.
+ * Retries state less time than any first try, and there may be many of them. So only the upper
+ * quarter of the stated times is used, and the spread is estimated as four times its range.
  */
 const UPPER_FRACTION = 0.25;
 
-/** The longest times that callers of one route stated in a period, longest first. */
+/** The longest times stated by callers of one route in a period, in descending order. */
 type LongestTimes = readonly number[];
 
-/** What is known of the callers of one route. */
+/** The times stated by callers of one route. */
 class StatedTimes {
   #current: LongestTimes = [];
 
@@ -67,32 +69,35 @@
     if (this.#recordedCount % SPREAD_UPDATE_COUNT === 0) this.#spread = this.#estimateSpread();
   }
 
-  /** The time that the least patient callers have at first. */
+  /** Estimates the shortest time that a first try of this route states. */
   estimateShortest(): number {
     return this.#estimateLongest() - this.#spread;
   }
 
-  /** How far the times of first tries lie apart. */
+  /** Estimates the difference between the longest and the shortest time of first tries. */
   #estimateSpread(): number {
     const sorted = [...this.#samples].sort((a, b) => b - a);
     const upperQuartile = sorted[Math.floor(sorted.length * UPPER_FRACTION)];
     return Math.max(0, (this.#estimateLongest() - upperQuartile) / UPPER_FRACTION);
   }
 
-  /** The longest time that callers have at first; a single odd one does not make the others late. */
+  /** The longest time of first tries; a single outlier does not make all other requests late. */
   #estimateLongest(): number {
     const known = Math.max(this.#current[MIN_STATED_COUNT - 1] ?? 0, this.#previous.at(-1) ?? 0);
     return known > 0 ? known : (this.#current[0] ?? 0);
   }
 }
 
-/** The time that callers have, by route. */
+/** Latency budgets by route, learnt from the remaining times that callers state. */
 export class LatencyBudgets {
   readonly #routes = new Map<string, StatedTimes>();
 
   /**
-   * Returns for how long an answer that leaves here is fully useful, in milliseconds; below 0 when it
-   * is late already.
+   * Returns for how long an answer that leaves this daemon is fully useful, in milliseconds;
+   * negative when it is late already. Also records the stated time.
+   *
+   * @param timeLeft the remaining time that the request states, in milliseconds; NaN when it
+   *   states none
    */
   read(route: Route, timeLeft: number, now: number): number {
     const fullBudget = route.targetLatency - ROUND_TRIP_MS;
--- a/src/gateway/requests/poison-registry.ts
+++ b/src/gateway/requests/poison-registry.ts
@@ -1,10 +1,12 @@
 /**
- * The daemon's dealings with poison requests: what its own requests saw, what the other daemons tell, what the
- * platform's store keeps, and the lines and counters for engineers on call.
+ * Registry of poison requests in one daemon. It combines what the daemon's own requests observed,
+ * reports of other daemons and cases kept in the platform's store, and logs and counts them for
+ * engineers on call.
  *
- * What one daemon saw goes to the homes at once, and again with every answer for a while, as datagrams get lost; who
- * is held out goes with every answer, so a daemon that starts knows it before it serves. What is held out lies in
- * the store as well, for a fleet that loses all power.
+ * What one daemon observes is sent to the homes at once, and again with every reply for a while,
+ * because datagrams get lost. Cases that are held out go with every reply, so that a daemon that
+ * starts knows them before it serves. They are kept in the store as well, for a fleet that loses
+ * all power.
  */
 import {
   type PoisonCase,
@@ -19,72 +21,81 @@
 import { type GatewayTarget, readRelease } from '../targets/target.js';
 import type { TargetService } from '../targets/target-service.js';
 
-/** What the desk is made from. */
+/** Dependencies of the registry. */
 export interface PoisonRegistryOptions {
   readonly clock: Clock;
   readonly log: Log;
   readonly metrics: TextMetrics;
-  /** Whether it falls to this daemon to try requests that are held out: one daemon does, so one target ends. */
+  /**
+   * Whether this daemon runs the trials of requests that are held out. Only one daemon does, so
+   * that a trial ends only one target.
+   */
   readonly mayRunTrials: () => boolean;
-  /** Tells the homes. */
+  /** Sends reports to the homes. */
   readonly send: (reports: readonly PoisonReport[]) => void;
 }
 
-/** A request that this desk looks at. */
+/** A request that is checked against the registry. */
 export interface IdentifiedRequest {
   readonly id: string;
   readonly service: TargetService;
   readonly identity: RequestIdentity;
 }
 
-/** A request that was lost with its target. */
+/** A request whose attempt was lost. */
 export interface LostRequest {
   readonly id: string;
   readonly route: { readonly name: string };
   readonly service: TargetService;
   readonly path: string;
-  /** What it is known by, the narrowest first. */
+  /** Its fingerprints, the narrowest first. */
   readonly fingerprints: readonly string[];
 }
 
-/** When an attempt was lost, on the kernel's clock. */
+/** When an attempt started and was lost, in milliseconds on the kernel's clock. */
 export interface LossTimes {
   readonly startedAt: number;
   readonly lostAt: number;
 }
 
-/** News are told again with every answer for this long: some questions of each daemon, as datagrams get lost. */
+/**
+ * How long a changed case goes with every reply, in milliseconds: some polls of each daemon,
+ * because datagrams get lost.
+ */
 const ANNOUNCE_TIME_MS = 1500;
 
-/** Words in one answer, of some 80 bytes each, so that it stays below what a network carries in one piece. */
+/** Reports in one reply, of some 80 bytes each, so that it fits into one network packet. */
 const MAX_HELD_PER_REPLY = 4;
 const MAX_CHANGED_PER_REPLY = 6;
 
-/** Words in one message of their own. */
+/** Reports in one message of their own. */
 const MAX_REPORTS_PER_MESSAGE = 12;
 
-/** What comes within this time goes in one message: a target that ends takes several requests with it. */
+/**
+ * Reports within this time share a message, in milliseconds: a target that ends takes several
+ * requests with it.
+ */
 const BATCH_DELAY_MS = 2;
 
-/** Requests in the store's record. */
+/** Requests that are kept in the store. */
 const MAX_STORED_CASES = 64;
 
-/** The desk of one daemon. */
+/** The registry of one daemon. */
 export class PoisonRegistry {
   readonly #record = new PoisonRecord();
 
-  /** Until when a request is told of with every answer. */
+  /** Until when each changed case goes with every reply; the latest change is last. */
   readonly #announceUntil = new Map<string, number>();
 
-  /** What the homes are about to be told. */
+  /** Requests whose cases are to be sent to the homes. */
   readonly #unsent = new Set<string>();
 
-  /** Where the next answer goes on to name those that are held out. */
+  /** Position at which the next reply continues the list of cases that are held out. */
   #nextHeld = 0;
 
   constructor(private readonly options: PoisonRegistryOptions) {}
 
-  /** Says what may be done with a request that is to be sent. */
+  /** Decides whether and how a request may be sent. */
   check(request: IdentifiedRequest): PoisonDecision {
     if (!this.#mayHaveCase(request)) return { kind: 'clear' };
     const context = this.#createContext(request.service);
@@ -93,7 +104,7 @@
       .reduce(joinDecisions);
   }
 
-  /** Notes that a suspect is sent to a target. */
+  /** Records that a suspect is sent to a target. */
   recordStart({ id, identity }: IdentifiedRequest, target: GatewayTarget): void {
     for (const fingerprint of identity.fingerprints) this.#record.start(fingerprint);
     const { incarnation, release } = target.record;
@@ -101,17 +112,18 @@
     this.options.log.info('poison.tried', { id, request, target: incarnation, release });
   }
 
-  /** Notes that what was sent of a suspect has come to an end. */
+  /** Records that an attempt of a suspect has ended. */
   recordFinish({ identity }: IdentifiedRequest): void {
     for (const fingerprint of identity.fingerprints) this.#record.finish(fingerprint);
   }
 
   /**
-   * Notes that a target ended while it ran a request.
+   * Records that a target ended while it ran a request.
    *
-   * A wider name counts each of the narrower ones once, so that one request does not blame all that share its path;
-   * and only a request that was sent after the last end tells anything new of it: of a path that is asked for all
-   * the time every target that a failure takes at one moment runs some request.
+   * A wider fingerprint counts each narrower one once, so that one request does not blame all that
+   * share its path. Also, a wider fingerprint counts an end only if the request was sent after its
+   * last recorded end: when a failure takes several targets at once, each of them runs some request
+   * for a popular path.
    */
   recordTargetEnd(
     request: LostRequest,
@@ -126,7 +138,8 @@
     for (const [width, fingerprint] of fingerprints.entries()) {
       const previous = this.#record.findBlamed(fingerprint);
       if (width > 0 && previous !== undefined && startedAt <= previous.changedAt) break;
-      // What was answered since then is not blamed, however late the end is found out.
+      // The end counts from the loss: an answer since then clears the request, even if the end is
+      // detected later.
       blamed.push(this.#record.recordTargetEnd(fingerprint, end, lostAt));
       if (previous !== undefined) break;
     }
@@ -142,7 +155,7 @@
     });
   }
 
-  /** Notes that a target ran a request to its end. */
+  /** Records that a target ran a request to its end, which clears it. */
   recordAnswer(request: IdentifiedRequest): void {
     if (!this.#mayHaveCase(request)) return;
     const { clock, log } = this.options;
@@ -154,13 +167,13 @@
     }
   }
 
-  /** Takes what another daemon tells. */
+  /** Receives reports of another daemon. */
   receive(from: string, reports: readonly PoisonReport[]): void {
     const { clock, log } = this.options;
     const now = clock.now();
     for (const { request, ended, releases, age } of reports) {
       const outcome = this.#record.receive({ request, ended, releases, changedAt: now - age }, now);
-      // Who does not know that it was answered learns it with the next answers.
+      // The sender does not know that the request was answered since; the next replies tell it.
       if (outcome === 'outdated') this.#announceUntil.set(request, now + ANNOUNCE_TIME_MS);
       if (outcome !== 'news') continue;
       this.#announceUntil.set(request, now + ANNOUNCE_TIME_MS);
@@ -168,7 +181,7 @@
     }
   }
 
-  /** Lists what goes with every answer to another daemon. */
+  /** Lists the reports that go with each reply to another daemon. */
   listReports(): readonly PoisonReport[] {
     if (this.#record.isEmpty) return [];
     const now = this.options.clock.now();
@@ -182,12 +195,14 @@
     return [...cases.values()].map((known) => createReport(known, now));
   }
 
-  /** Requests that are held out. */
+  /** Number of requests that are held out. */
   get heldOutCount(): number {
     return this.#record.isEmpty ? 0 : this.#record.listHeldOut().length;
   }
 
-  /** Lists what the store is to keep: of those that are held out, the ones that lost a target last. */
+  /**
+   * Lists the cases for the store: of those that are held out, the ones that lost a target last.
+   */
   listForStore(): readonly StoredPoisonRequest[] {
     if (this.#record.isEmpty) return [];
     const { clock } = this.options;
@@ -200,7 +215,7 @@
       }));
   }
 
-  /** Takes what the store kept. */
+  /** Restores the cases kept in the store. */
   restore(stored: readonly StoredPoisonRequest[]): void {
     const { clock } = this.options;
     const reports = stored.map(({ request, ended, releases, at }) => ({
@@ -245,7 +260,7 @@
     }
   }
 
-  /** Some of those that are held out, in turn. */
+  /** Picks some of the cases that are held out, in rotation. */
   #pickHeld(): readonly PoisonCase[] {
     const held = this.#record.listHeldOut();
     if (held.length <= MAX_HELD_PER_REPLY) return held;
@@ -255,7 +270,7 @@
   }
 }
 
-/** What holds for a request by one name holds for it by any. */
+/** Combines the decisions for two fingerprints of one request; the stricter one applies. */
 function joinDecisions(a: PoisonDecision, b: PoisonDecision): PoisonDecision {
   if (a.kind === 'held' && b.kind === 'held') return a.wait > b.wait ? a : b;
   if (a.kind === 'held' || b.kind === 'clear') return a;
--- a/src/gateway/requests/request-handler.ts
+++ b/src/gateway/requests/request-handler.ts
@@ -1,4 +1,4 @@
-/** Takes a caller's request from its head to the hands of {@link Forwarding}, or answers it at once. */
+/** Handles a caller's request from its head to {@link Forwarding}, or answers it at once. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Clock, Log, Random, TextMetrics } from '../../kernel/index.js';
 import { RouteTime } from '../../balance/index.js';
@@ -27,7 +27,7 @@
 import { RequestLog } from './request-log.js';
 import type { TargetSet } from '../targets/target-set.js';
 
-/** What the reception is made from. */
+/** Dependencies of the request handler. */
 export interface RequestHandlerOptions {
   readonly clock: Clock;
   readonly random: Random;
@@ -36,22 +36,27 @@
   readonly metrics: TextMetrics;
   readonly poison: PoisonRegistry;
   readonly eventLoop: BacklogOptions['eventLoop'];
-  /** Called when a request met a broken invariant. */
+  /**
+   * Called when serving a request failed with an unexpected error, such as a violated invariant.
+   */
   readonly onInvariantViolation: (error: Error) => void;
-  /** The configuration in force; undefined while this daemon may not serve by any. */
+  /** The configuration in force; undefined while this daemon has none that it may serve by. */
   readonly readTable: () => RouteTable | undefined;
 }
 
-/** When a caller may come back to a daemon that knows no configuration yet. */
+/** Retry-After of a daemon that has no configuration yet, in milliseconds. */
 const STARTING_RETRY_AFTER_MS = 300;
 
-/** When a caller that was told to go elsewhere may do so. */
+/** Retry-After of a daemon that stops, in milliseconds; the caller is to use another one. */
 const STOPPING_RETRY_AFTER_MS = 20;
 
-/** A request whose caller and route name no time is held this long at most. */
+/**
+ * Longest time that a request is held if neither its caller nor its route sets one, in
+ * milliseconds.
+ */
 const MAX_HOLD_MS = 60_000;
 
-/** A request that found its route and service. */
+/** A request that was matched to a route and a service. */
 interface AdmittedRequest {
   readonly kind: 'admitted';
   readonly table: RouteTable;
@@ -63,11 +68,11 @@
 interface RejectedRequest {
   readonly kind: 'turned-away';
   readonly answer: LocalAnswer;
-  /** Whether its connection may carry another one. */
+  /** Whether its connection may carry further requests. */
   readonly keepsConnection: boolean;
 }
 
-/** What is known of a request's times when it was read. */
+/** The id and the times of a request, computed when its head was read. */
 type RequestTimes = Pick<
   RoutedRequest,
   'id' | 'headReadAt' | 'estimatedArrivalAt' | 'aimAt' | 'deadline'
@@ -81,13 +86,13 @@
   return { kind: 'turned-away', answer, keepsConnection };
 }
 
-/** Returns the length that a request states; undefined when it comes in chunks. */
+/** Returns the Content-Length of a request; undefined when the body is chunked. */
 function readLength(request: IncomingMessage): number | undefined {
   const text = readHeader(request.headers, 'content-length');
   return text === undefined ? undefined : Number(text);
 }
 
-/** The reception of one daemon. */
+/** Handles the requests of one daemon. */
 export class RequestHandler {
   /** Counters over all requests. */
   readonly counts: ForwardingCounts = {
@@ -111,12 +116,12 @@
     this.#backlog = new Backlog(options);
   }
 
-  /** From now on requests are told to go elsewhere, because this daemon stops. */
+  /** From now on refuses requests, so that callers use another daemon, because this one stops. */
   close(): void {
     this.#isStopping = true;
   }
 
-  /** Takes what others have learnt of routes. */
+  /** Applies what other daemons have learnt about routes. */
   restoreLearnedState(learnedRoutes: LearnedState['routes']): void {
     this.#learnedRoutes = learnedRoutes;
     for (const [name, routeTime] of this.#routeTimes) {
@@ -125,12 +130,12 @@
     }
   }
 
-  /** Requests that were read and are not begun yet. */
+  /** Number of requests that were read and not started. */
   get backlogSize(): number {
     return this.#backlog.size;
   }
 
-  /** What has been learnt here of routes. */
+  /** Lists what this daemon has learnt about routes. */
   readLearnedState(): LearnedState['routes'] {
     const learnedRoutes: Record<string, LearnedRouteState> = {};
     for (const [name, routeTime] of this.#routeTimes) {
@@ -141,9 +146,9 @@
   }
 
   /**
-   * Takes a request that was read: answers it at once, or lets it wait for its turn.
+   * Handles a request whose head was read: answers it at once, or adds it to the backlog.
    *
-   * @param estimatedArrivalAt when it is estimated to have come, on the clock
+   * @param estimatedArrivalAt when it is estimated to have arrived, on the kernel's clock
    */
   handle(request: IncomingMessage, response: ServerResponse, estimatedArrivalAt: number): void {
     const admission = this.#findRoute(request);
@@ -161,7 +166,8 @@
         deadline: times.deadline,
         priority: route.priority,
       },
-      // What a call takes at its target is not guessed here; its turn alone may come too late.
+      // The backlog refuses only for its own wait, so an unknown call time at the targets counts as
+      // 0.
       ...{ work: routeTime.isKnown ? routeTime.readWork() : 0, isWorkKnown: true },
       ...{ spread: routeTime.readSpread(), mayBeRefused: true },
       hasCallerLeft: () => hasCallerLeft(request, response),
@@ -178,7 +184,7 @@
     });
   }
 
-  /** Serves one request to its end. */
+  /** Reads the body and serves the request until it is answered or given up. */
   async #serve(
     request: IncomingMessage,
     response: ServerResponse,
@@ -209,7 +215,7 @@
     };
   }
 
-  /** Tells a caller that its turn would come too late. */
+  /** Answers that the request would be started too late. */
   #refuse(response: ServerResponse, admitted: TimedRequest, wait: number): void {
     const answer = { kind: 'not-run', reason: 'busy', retryAfter: wait } as const;
     this.counts.notRun += 1;
@@ -218,7 +224,10 @@
     writeLocalAnswer(response, admitted.id, answer);
   }
 
-  /** Reads when an answer stops to be of use; the time that the request lay unread has passed already. */
+  /**
+   * Computes the times of a request. They count from its estimated arrival, so the time that it was
+   * unread has passed already.
+   */
   #computeTimes(request: IncomingMessage, route: Route, estimatedArrivalAt: number): RequestTimes {
     const statedTime = Number(readHeader(request.headers, HEADERS.timeLeft));
     const maxTime = Math.min(statedTime > 0 ? statedTime : MAX_HOLD_MS, route.timeout, MAX_HOLD_MS);
--- a/src/gateway/requests/request-identity.ts
+++ b/src/gateway/requests/request-identity.ts
@@ -1,37 +1,43 @@
 /**
- * What makes two tries the same request: method, host, path with its parameters, caller and body; not the ids that
- * change with each try. Requests may share less than all of it and still end targets for the same reason: a page that
- * its callers ask for with other parameters, or a document that many of them read. So a request has wider names too.
+ * Fingerprints that recognise other tries of the same request, by method, host, path with
+ * parameters, caller and body; ids are left out, since they change with each try. Requests that
+ * differ in some of this may still end targets for the same reason: a page that is requested with
+ * different parameters, or a document that many callers read. So a request has wider fingerprints
+ * too, without the parameters and without the caller.
  *
- * The digests are cryptographic ones, so that nobody can find another request with the same digest as someone
- * else's and have that one held out; the caller's address, which only the caller can connect from, is part of them.
- * They are worked out when they are asked for, on most days never; all three take some 10 us.
+ * The digests are cryptographic, so that nobody can construct a request with the same digest as
+ * someone else's to have that one held out. The narrower ones include the caller's address, from
+ * which only that caller can connect. They are computed when they are first used, which on most
+ * days is never; all three take some 10 us.
  */
 import { createHash } from 'node:crypto';
 import { HEAD_DIGEST_LENGTH } from '../../balance/index.js';
 import type { OutgoingRequest } from './attempt.js';
 
-/** What a request is told apart by. */
+/** The parts of a request that identify it. */
 export interface RequestTraits {
   readonly method: string;
   readonly host: string;
   /** Path and query as the caller sent them. */
   readonly path: string;
-  /** IP number of the caller. */
+  /** IP address of the caller. */
   readonly caller: string;
   readonly body: OutgoingRequest['body'];
   /** Length of the body, as far as it is known. */
   readonly bodyBytes: number;
 }
 
-/** Parts are told apart by their lengths, so that what ends one can't begin the next. */
+/**
+ * Hashes the parts with their lengths, so that bytes can't move from one part to the next without
+ * changing the digest.
+ */
 function hashParts(parts: readonly string[], body?: Buffer): string {
   const hash = createHash('sha256').update(parts.map((part) => `${part.length}:${part}`).join(''));
   if (body !== undefined) hash.update(body);
   return hash.digest('base64url').slice(0, HEAD_DIGEST_LENGTH);
 }
 
-/** The names of one request. */
+/** The fingerprints of one request. */
 export class RequestIdentity {
   #headDigests: readonly string[] | undefined;
 
@@ -39,7 +45,7 @@
 
   constructor(private readonly traits: RequestTraits) {}
 
-  /** The parts of the names that stand for everything but the body. */
+  /** The first half of each fingerprint, which covers everything except the body. */
   get headDigests(): readonly string[] {
     if (this.#headDigests !== undefined) return this.#headDigests;
     const { method, host, path, caller } = this.traits;
@@ -51,7 +57,10 @@
     return this.#headDigests;
   }
 
-  /** From the one that tells most to the widest. A body that is not held counts by its length. */
+  /**
+   * The fingerprints from the narrowest to the widest. A body that is not buffered counts by its
+   * length.
+   */
   get fingerprints(): readonly string[] {
     if (this.#fingerprints !== undefined) return this.#fingerprints;
     const { body, bodyBytes } = this.traits;
--- a/src/gateway/requests/request-log.ts
+++ b/src/gateway/requests/request-log.ts
@@ -1,32 +1,32 @@
-/** The lines and counters of one request: each decision on it, with what it rested on. */
+/** Log lines and counters of one request: each decision about it, with the figures behind it. */
 import { findLatenessCause } from '../../balance/index.js';
 import type { Clock, Log, TextMetrics } from '../../kernel/index.js';
 import type { LocalAnswer } from './answers.js';
 import type { RunningAttempt } from './attempt.js';
 
-/** What all lines of a request name. */
+/** The properties of a request that its log lines contain. */
 export interface LoggedRequest {
   readonly id: string;
   readonly route: { readonly name: string };
   readonly service: { readonly name: string };
-  /** When its head was read, on the kernel's clock. */
+  /** When its head was read, in milliseconds on the kernel's clock. */
   readonly headReadAt: number;
-  /** When it is estimated to have come: it lay unread from then on. */
+  /** When it is estimated to have arrived at this machine; it was unread from then on. */
   readonly estimatedArrivalAt: number;
-  /** When an answer that leaves here stops to be fully useful to the caller. */
+  /** Until when an answer that leaves this daemon is fully useful to the caller. */
   readonly aimAt: number;
 }
 
-/** Where the lines and counters go. */
+/** Destinations of log lines and counters, and their clock. */
 export interface RequestLogOptions {
   readonly clock: Clock;
   readonly log: Log;
   readonly metrics: TextMetrics;
 }
 
-/** Tells of one request. */
+/** Logs one request. */
 export class RequestLog {
-  /** When it was first sent to a target. */
+  /** When it was first sent to a target; undefined before that. */
   #firstSentAt: number | undefined;
 
   #attemptCount = 0;
@@ -36,13 +36,13 @@
     private readonly request: LoggedRequest,
   ) {}
 
-  /** Notes that it is sent to a target. */
+  /** Records that the request is sent to a target. */
   recordAttempt(): void {
     this.#firstSentAt ??= this.options.clock.now();
     this.#attemptCount += 1;
   }
 
-  /** Tells of an answer of ours. */
+  /** Logs an answer that the gateway generated. */
   logLocalAnswer(answer: LocalAnswer): void {
     const { clock, log, metrics } = this.options;
     const { id, route, service, headReadAt } = this.request;
@@ -61,7 +61,11 @@
     });
   }
 
-  /** Tells of a target's answer that is passed on. @param expectedTime how long a call takes as expected */
+  /**
+   * Logs a target's answer that is forwarded.
+   *
+   * @param usual expected time of a call, in milliseconds
+   */
   logAnswer(attempt: RunningAttempt, expectedTime: number): void {
     const { clock, log, metrics } = this.options;
     const { id, route, headReadAt } = this.request;
@@ -84,10 +88,10 @@
   }
 
   /**
-   * Tells of an attempt that brought no answer to pass on.
+   * Logs an attempt that brought no answer to forward.
    *
-   * @param lost for one that was sent and lost: whether its target ended, and what its request is known by, as tries
-   *   of the same request have other ids
+   * @param lost for an attempt that was sent and lost: whether its target ended, and the
+   *   fingerprints of the request, since other tries of it have other ids
    */
   logFailure(
     { target, startedAt, timing }: RunningAttempt,
@@ -116,7 +120,7 @@
     return Math.round(this.request.headReadAt - this.request.estimatedArrivalAt);
   }
 
-  /** Tells of an answer that comes after its aim, and why. */
+  /** Logs an answer that is later than the target latency allows, and why. */
   #logLateness({ target }: RunningAttempt, expectedTime: number): void {
     const { clock, log, metrics } = this.options;
     const { id, route, service, headReadAt, aimAt } = this.request;
--- a/src/gateway/requests/request-reader.ts
+++ b/src/gateway/requests/request-reader.ts
@@ -1,4 +1,7 @@
-/** Reads a caller's request: its head against the operators' limits, its route, its body. */
+/**
+ * Reads a caller's request: checks its head against the operators' limits, reads its body, and
+ * builds the headers for targets.
+ */
 import type { IncomingMessage } from 'node:http';
 import { type Readable, Transform } from 'node:stream';
 import { checkHead, normalizeTarget } from '../../proxy/door.js';
@@ -8,13 +11,16 @@
 import type { LocalAnswer } from './answers.js';
 import type { GatewayTarget } from '../targets/target.js';
 
-/** Bodies up to this length are read whole before a target is chosen, so that they can be sent again. */
+/**
+ * Bodies up to this many bytes are read whole before a target is chosen, so that they can be sent
+ * again.
+ */
 export const MAX_BUFFERED_BODY_BYTES = 1_048_576;
 
 const BODY_TOO_LARGE = 413;
 const HEADERS_TOO_LARGE = 431;
 
-/** Bytes that each header line needs besides its name and value. */
+/** Bytes that each header line takes besides its name and value. */
 const HEADER_LINE_BYTES = 4;
 
 function countHeaderBytes(request: IncomingMessage): number {
@@ -27,7 +33,10 @@
   return { kind: 'bad-request', status, reason };
 }
 
-/** Checks the head of a request; undefined lets it in. */
+/**
+ * Checks the head of a request; returns the answer that rejects it, or undefined when it is
+ * acceptable.
+ */
 export function checkRequest(
   request: IncomingMessage,
   limits: RequestLimits,
@@ -44,16 +53,16 @@
   return undefined;
 }
 
-/** What became of reading a body. */
+/** The outcome of reading a body. */
 export type BodyResult =
   | { readonly kind: 'whole'; readonly data: Buffer | undefined }
-  /** Too long to hold: the stream of a body that can be sent once. */
+  /** Too long to buffer: the stream of a body that can be sent only once. */
   | { readonly kind: 'stream'; readonly source: Readable }
   | { readonly kind: 'refused'; readonly answer: LocalAnswer }
-  /** The caller went away. */
+  /** The caller has left. */
   | { readonly kind: 'gone' };
 
-/** Reads a body whole, as far as it may be held. */
+/** Reads a body whole, or returns its stream if it is too long to buffer. */
 export function readBody(request: IncomingMessage, limits: RequestLimits): Promise<BodyResult> {
   const { headers } = request;
   const length = Number(headers['content-length'] ?? 0);
@@ -76,7 +85,7 @@
       }
       chunks.push(chunk);
       if (bytes <= MAX_BUFFERED_BODY_BYTES) return;
-      // Too long to hold: what was read goes back, and the rest passes through.
+      // Too long to buffer: what was read is put back, and the whole body is streamed.
       request.pause();
       request.removeListener('data', onData);
       request.unshift(Buffer.concat(chunks));
@@ -93,7 +102,7 @@
   return reject(BODY_TOO_LARGE, `a body over ${bodyBytes} bytes`);
 }
 
-/** Passes a body on while it stays within the limit; a longer one ends the request. */
+/** Streams a body up to the limit; a longer one destroys the request. */
 function createLimiter(request: IncomingMessage, { bodyBytes }: RequestLimits): Readable {
   let bytes = 0;
   const limiter = new Transform({
@@ -106,7 +115,7 @@
   return request.pipe(limiter);
 }
 
-/** Headers that end at this daemon, and those that it sets itself. */
+/** Headers that apply to the caller's connection only, and those that this daemon sets itself. */
 const DROPPED_HEADERS = new Set([
   ...['connection', 'keep-alive', 'proxy-connection', 'proxy-authenticate', 'te', 'trailer'],
   ...['transfer-encoding', 'upgrade', 'expect', 'content-length'],
@@ -118,7 +127,7 @@
   return new Set(value.split(',').map((option) => option.trim().toLowerCase()));
 }
 
-/** Builds the headers that each target gets, but for what depends on the target. */
+/** Builds the headers that are the same for every target. */
 export function buildCommonHeaders(request: IncomingMessage): readonly string[] {
   const options = listConnectionOptions(request);
   const headers: string[] = [];
@@ -130,7 +139,10 @@
   return headers;
 }
 
-/** Adds what one target is told: the time left, who must answer, and the length of the body. */
+/**
+ * Adds the headers for one target: the time left, the incarnation that must answer, and the length
+ * of the body.
+ */
 export function buildTargetHeaders(
   commonHeaders: readonly string[],
   target: GatewayTarget,
