--- a/test/poison.test.ts
+++ b/test/poison.test.ts
@@ -244,7 +244,7 @@
 describe('the target chosen for a request under which a target has ended', () => {
   const NOW = 1_700_000_000_000;
   const clock = new ManualClock(NOW);
-  const care = { avoidedReleases: [] };
+  const suspect = { avoidedReleases: [] };
   let service: TargetService;
   const add = (view: FleetView, name: string, record: Partial<TargetRecord>) => {
     const address = { host: '127.0.0.1', port: 1 };
@@ -275,12 +275,12 @@
     service = targets.getService('s');
   });
 
-  const choose = (wish: Partial<PlacementRequest> = {}) => {
-    const advice = service.chooseTarget(
-      { tried: new Set(), work: 10, bodyBytes: 0, suspect: care, ...wish },
+  const choose = (request: Partial<PlacementRequest> = {}) => {
+    const choice = service.chooseTarget(
+      { tried: new Set(), work: 10, bodyBytes: 0, suspect, ...request },
       0,
     );
-    return advice.kind === 'now' ? advice.candidate.record.incarnation : advice.kind;
+    return choice.kind === 'now' ? choice.candidate.record.incarnation : choice.kind;
   };
   const find = (name: string) => service.targets.get(name) ?? expect.fail(name);
   const fill = (name: string) => {
@@ -295,7 +295,7 @@
     fill('old-1');
     fill('old-2');
     expect(choose()).to.equal('young');
-    // No other target has a free slot, so the suspect waits like any other call.
+    // With another suspect at the only target with a free slot, it waits, as any other call does.
     find('young').suspectCalls = 1;
     expect(choose()).to.equal('wait');
     expect(choose({ suspect: undefined })).to.equal('wait');
