--- a/src/gateway/requests/attempt.ts
+++ b/src/gateway/requests/attempt.ts
@@ -69,10 +69,11 @@
 /** An attempt that is in progress. */
 export interface RunningAttempt {
   readonly timing: AttemptTiming;
-  /** Calls at the target when this one started, including this one. */
+  /** Estimated calls at the target when this one started, including this one. */
   readonly callsAtStart: number;
   readonly target: GatewayTarget;
   readonly startedAt: number;
+  /** Resolves with the outcome; never rejects. */
   readonly done: Promise<AttemptOutcome>;
   /** Aborts the attempt and closes its connection to the target. */
   abort(): void;
--- a/src/gateway/requests/latency-budget.ts
+++ b/src/gateway/requests/latency-budget.ts
@@ -23,7 +23,7 @@
 /** Times that no request stated during two such periods are forgotten, in milliseconds. */
 const PERIOD_MS = 30_000;
 
-/** Latest stated times from which the spread of first tries is estimated. */
+/** Number of latest stated times from which the spread of first tries is estimated. */
 const MAX_SAMPLES = 64;
 
 /** The spread is estimated anew, and first, after this many stated times. */
--- a/src/gateway/requests/poison-registry.ts
+++ b/src/gateway/requests/poison-registry.ts
@@ -27,8 +27,8 @@
   readonly log: Log;
   readonly metrics: TextMetrics;
   /**
-   * Whether this daemon runs the trials of requests that are held out. Only one daemon does, so
-   * that a trial ends only one target.
+   * Whether this daemon runs the trials of requests that are held out, that is, sent to no target.
+   * Only one daemon does, so that a trial ends only one target.
    */
   readonly mayRunTrials: () => boolean;
   /** Sends reports to the homes. */
@@ -64,11 +64,11 @@
  */
 const ANNOUNCE_TIME_MS = 1500;
 
-/** Reports in one reply, of some 80 bytes each, so that it fits into one network packet. */
+/** Most reports in one reply, of some 80 bytes each, so that it fits into one network packet. */
 const MAX_HELD_PER_REPLY = 4;
 const MAX_CHANGED_PER_REPLY = 6;
 
-/** Reports in one message of their own. */
+/** Most reports in a message that carries nothing else. */
 const MAX_REPORTS_PER_MESSAGE = 12;
 
 /**
@@ -77,7 +77,7 @@
  */
 const BATCH_DELAY_MS = 2;
 
-/** Requests that are kept in the store. */
+/** Most requests that are kept in the store. */
 const MAX_STORED_CASES = 64;
 
 /** The registry of one daemon. */
@@ -104,7 +104,7 @@
       .reduce(joinDecisions);
   }
 
-  /** Records that a suspect is sent to a target. */
+  /** Records that a suspect, a request under which a target has ended, is sent to a target. */
   recordStart({ id, identity }: IdentifiedRequest, target: GatewayTarget): void {
     for (const fingerprint of identity.fingerprints) this.#record.start(fingerprint);
     const { incarnation, release } = target.record;
--- a/src/gateway/requests/request-handler.ts
+++ b/src/gateway/requests/request-handler.ts
@@ -1,4 +1,4 @@
-/** Handles a caller's request from its head to {@link Forwarding}, or answers it at once. */
+/** Handles a caller's request from its head until {@link Forwarding} takes over, or answers it. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Clock, Log, Random, TextMetrics } from '../../kernel/index.js';
 import { RouteTime } from '../../balance/index.js';
@@ -44,16 +44,13 @@
   readonly readTable: () => RouteTable | undefined;
 }
 
-/** Retry-After of a daemon that has no configuration yet, in milliseconds. */
+/** Retry-After while the daemon has no configuration, or the route no service, in milliseconds. */
 const STARTING_RETRY_AFTER_MS = 300;
 
 /** Retry-After of a daemon that stops, in milliseconds; the caller is to use another one. */
 const STOPPING_RETRY_AFTER_MS = 20;
 
-/**
- * Longest time that a request is held if neither its caller nor its route sets one, in
- * milliseconds.
- */
+/** Longest time that a request is held, whatever its caller and its route state, in milliseconds. */
 const MAX_HOLD_MS = 60_000;
 
 /** A request that was matched to a route and a service. */
@@ -121,7 +118,7 @@
     this.#isStopping = true;
   }
 
-  /** Applies what other daemons have learnt about routes. */
+  /** Uses the stored learned state of routes as the prior of their estimates. */
   restoreLearnedState(learnedRoutes: LearnedState['routes']): void {
     this.#learnedRoutes = learnedRoutes;
     for (const [name, routeTime] of this.#routeTimes) {
@@ -135,7 +132,7 @@
     return this.#backlog.size;
   }
 
-  /** Lists what this daemon has learnt about routes. */
+  /** Returns what this daemon has learnt about routes. */
   readLearnedState(): LearnedState['routes'] {
     const learnedRoutes: Record<string, LearnedRouteState> = {};
     for (const [name, routeTime] of this.#routeTimes) {
@@ -166,8 +163,7 @@
         deadline: times.deadline,
         priority: route.priority,
       },
-      // The backlog refuses only for its own wait, so an unknown call time at the targets counts as
-      // 0.
+      // Only the wait in the backlog may cause a refusal here, so an unknown call time counts as 0.
       ...{ work: routeTime.isKnown ? routeTime.readWork() : 0, isWorkKnown: true },
       ...{ spread: routeTime.readSpread(), mayBeRefused: true },
       hasCallerLeft: () => hasCallerLeft(request, response),
@@ -232,10 +228,7 @@
     const statedTime = Number(readHeader(request.headers, HEADERS.timeLeft));
     const maxTime = Math.min(statedTime > 0 ? statedTime : MAX_HOLD_MS, route.timeout, MAX_HOLD_MS);
     return {
-      ...{
-        id: readHeader(request.headers, HEADERS.requestId) ?? '',
-        estimatedArrivalAt,
-      },
+      ...{ id: readHeader(request.headers, HEADERS.requestId) ?? '', estimatedArrivalAt },
       headReadAt: this.options.clock.now(),
       aimAt: estimatedArrivalAt + this.#latencyBudgets.read(route, statedTime, estimatedArrivalAt),
       deadline: estimatedArrivalAt + maxTime,
@@ -307,15 +300,7 @@
     const { host = '' } = request.headers;
     const caller = request.socket.remoteAddress ?? '';
     return {
-      ...{
-        id,
-        route,
-        headReadAt,
-        estimatedArrivalAt,
-        aimAt,
-        deadline,
-        ...outgoing,
-      },
+      ...{ id, route, headReadAt, estimatedArrivalAt, aimAt, deadline, ...outgoing },
       service: this.options.targets.getService(admitted.service),
       identity: new RequestIdentity({ ...outgoing, host, caller }),
       buildHeaders: (target, timeLeft) =>
