--- a/src/gateway/requests/attempt.ts
+++ b/src/gateway/requests/attempt.ts
@@ -1,8 +1,8 @@
 /**
- * One attempt at one target: sends a request and says truthfully what became of it.
+ * One attempt to send a request to one target, and its exact outcome.
  *
- * The answer is held until it is whole, up to a limit, so a broken one can be replaced by another
- * attempt and never looks complete. What is longer is passed on as it comes.
+ * An answer is buffered until it is complete, up to a limit, so that a truncated one can be
+ * replaced by another attempt and never looks complete. Longer answers are streamed to the caller.
  */
 import http from 'node:http';
 import type { IncomingMessage } from 'node:http';
@@ -12,8 +12,8 @@
 import { type TargetConnection, parseIdleLimit } from '../targets/connections.js';
 import type { GatewayTarget } from '../targets/target.js';
 
-/** What is sent. */
-export interface Sending {
+/** A request as it is sent to a target. */
+export interface OutgoingRequest {
   readonly requestId: string;
   readonly method: string;
   /** Path and query as the caller sent them. */
@@ -22,7 +22,10 @@
   readonly body: Buffer | Readable | undefined;
 }
 
-/** A target's answer. The body is whole, or its first part with the stream of the rest. */
+/**
+ * A target's answer. The body is complete, or `body` is its first part and `rest` the stream of the
+ * remainder.
+ */
 export interface TargetAnswer {
   readonly status: number;
   readonly rawHeaders: readonly string[];
@@ -30,7 +33,10 @@
   readonly rest: IncomingMessage | undefined;
   /** Whether the target signed it. */
   readonly isSigned: boolean;
-  /** Whether it told its length, or came in chunks; else only its connection's end ended it. */
+  /**
+   * Whether it has a Content-Length or is chunked; otherwise only the close of the connection ends
+   * it.
+   */
   readonly isDelimited: boolean;
 }
 
@@ -39,43 +45,50 @@
   | { readonly kind: 'answered'; readonly answer: TargetAnswer }
   /** No byte was sent. */
   | { readonly kind: 'not-connected'; readonly reason: string }
-  /** No byte was sent, as the target takes no calls any more since it was chosen. */
+  /** No byte was sent, because the target stopped taking calls after it was chosen. */
   | { readonly kind: 'withdrawn' }
-  /** The target said that it did not run the request. */
+  /** The target reported that it did not run the request. */
   | { readonly kind: 'not-run'; readonly cause: 'shed' | 'misdirected' }
-  /** It was sent and no whole answer came; `isEnded` tells whether its target has ended. */
-  | { readonly kind: 'lost'; readonly reason: string; readonly isEnded: boolean }
-  /** Given up by this daemon; `sent` tells whether the target may have had it. */
-  | { readonly kind: 'cancelled'; readonly sent: boolean };
+  /**
+   * The request was sent and no complete answer came; `hasTargetEnded` says whether the target has
+   * ended.
+   */
+  | { readonly kind: 'lost'; readonly reason: string; readonly hasTargetEnded: boolean }
+  /** Aborted by this daemon; `isSent` says whether the target may have received the request. */
+  | { readonly kind: 'cancelled'; readonly isSent: boolean };
 
-/** When parts of an attempt were done, in milliseconds from its start. */
+/**
+ * When the connection and the head of the answer were ready, in milliseconds from the start of the
+ * attempt.
+ */
 export interface AttemptTiming {
   connected: number;
   head: number;
 }
 
-/** A running attempt. */
+/** An attempt that is in progress. */
 export interface RunningAttempt {
   readonly timing: AttemptTiming;
-  /** Calls at the target when this one started, itself included. */
+  /** Estimated calls at the target when this one started, including this one. */
   readonly callsAtStart: number;
   readonly target: GatewayTarget;
   readonly startedAt: number;
+  /** Resolves with the outcome; never rejects. */
   readonly done: Promise<AttemptOutcome>;
-  /** Gives it up; the target sees its connection close. */
+  /** Aborts the attempt and closes its connection to the target. */
   abort(): void;
 }
 
-/** Longest answer that is held whole, in bytes: many times the users' longest. */
-const HELD_BYTES = 262_144;
+/** Longest answer that is buffered, in bytes: many times the users' longest. */
+const MAX_BUFFERED_ANSWER_BYTES = 262_144;
 
-/** How long a connection may have rested when it carries what must not run twice. */
-const FRESH_REST = 1500;
+/** Longest idle time of a connection that may carry a request which must not run twice. */
+const MAX_UNSAFE_IDLE_MS = 1500;
 
-const ANY_REST = Infinity;
+const MAX_REPEATABLE_IDLE_MS = Infinity;
 
-/** Statuses from here on say that the target failed. */
-export const SERVER_ERROR = 500;
+/** Answers with this status or a higher one count as failures of the target. */
+export const MIN_FAILURE_STATUS = 500;
 
 class TargetAttempt implements RunningAttempt {
   #request: http.ClientRequest | undefined;
@@ -94,7 +107,7 @@
 
   constructor(
     readonly target: GatewayTarget,
-    private readonly sending: Sending,
+    private readonly outgoing: OutgoingRequest,
     readonly startedAt: number,
     private readonly clock: Clock,
   ) {
@@ -106,31 +119,31 @@
 
   async send(isRepeatable: boolean): Promise<void> {
     const { target } = this;
-    const longest = isRepeatable ? ANY_REST : FRESH_REST;
-    const taken = await target.connections.take(target.isReuseSafe ? longest : -1);
+    const maxIdleMs = isRepeatable ? MAX_REPEATABLE_IDLE_MS : MAX_UNSAFE_IDLE_MS;
+    const result = await target.connections.take(target.isReuseSafe ? maxIdleMs : -1);
     if (this.#isAborted) {
-      if (taken.kind === 'connected') taken.connection.socket.emit('free');
-      this.#settle({ kind: 'cancelled', sent: false });
+      if (result.kind === 'connected') result.connection.socket.emit('free');
+      this.#settle({ kind: 'cancelled', isSent: false });
       return;
     }
-    if (taken.kind === 'not-connected') {
-      this.#settle(taken);
+    if (result.kind === 'not-connected') {
+      this.#settle(result);
       return;
     }
     if (!target.isUsable) {
-      taken.connection.socket.emit('free');
+      result.connection.socket.emit('free');
       this.#settle({ kind: 'withdrawn' });
       return;
     }
     this.timing.connected = this.clock.now() - this.startedAt;
-    this.#write(taken.connection);
+    this.#sendRequest(result.connection);
   }
 
   abort(): void {
     this.#isAborted = true;
     if (this.#request === undefined) return;
     this.#request.destroy();
-    this.#settle({ kind: 'cancelled', sent: true });
+    this.#settle({ kind: 'cancelled', isSent: true });
   }
 
   #settle(outcome: AttemptOutcome): void {
@@ -139,70 +152,73 @@
     this.#resolve(outcome);
   }
 
-  /** Settles an attempt that brought no whole answer, once it is known what became of its target. */
-  #lose(reason: string): void {
+  /**
+   * Settles an attempt that got no complete answer, after checking whether its target has ended.
+   */
+  #settleLost(reason: string): void {
     if (this.#isSettled) return;
     this.#isSettled = true;
-    const resolve = (isEnded: boolean) => this.#resolve({ kind: 'lost', reason, isEnded });
+    const resolve = (hasTargetEnded: boolean) =>
+      this.#resolve({ kind: 'lost', reason, hasTargetEnded });
     this.target.checkEnded().then(resolve, () => resolve(false));
   }
 
-  #write(connection: TargetConnection): void {
-    const { method, path, headers, body } = this.sending;
+  #sendRequest(connection: TargetConnection): void {
+    const { method, path, headers, body } = this.outgoing;
     const request = http.request({
       ...{ agent: connection.agent, method, path, setHost: false },
       headers: headers as unknown as http.OutgoingHttpHeaders,
     });
     this.#request = request;
     request.on('error', (error: NodeJS.ErrnoException) => {
-      this.#lose(error.code ?? error.message);
+      this.#settleLost(error.code ?? error.message);
     });
-    request.on('response', (response) => this.#read(response, connection));
+    request.on('response', (response) => this.#handleResponse(response, connection));
     if (body === undefined || Buffer.isBuffer(body)) request.end(body);
     else body.pipe(request);
   }
 
-  #read(response: IncomingMessage, connection: TargetConnection): void {
+  #handleResponse(response: IncomingMessage, connection: TargetConnection): void {
     const { target } = this;
     this.timing.head = this.clock.now() - this.startedAt;
     response.on('error', (error) => {
-      this.#lose(error.message);
+      this.#settleLost(error.message);
       connection.socket.destroy();
     });
     const { statusCode: status = 0, headers } = response;
     const report = decodeSelfReport(status, headers);
-    const echoed = readHeader(headers, HEADERS.requestId);
-    if (echoed !== undefined && echoed !== this.sending.requestId) {
+    const echoedId = readHeader(headers, HEADERS.requestId);
+    if (echoedId !== undefined && echoedId !== this.outgoing.requestId) {
       target.receiveDraining(report.draining);
       target.recordStrayBytes();
       this.#settle({
-        ...{ kind: 'lost', reason: 'the answer belongs to another request', isEnded: false },
+        ...{ kind: 'lost', reason: 'the answer belongs to another request', hasTargetEnded: false },
       });
       connection.socket.destroy();
       return;
     }
     connection.idleLimit = parseIdleLimit(readHeader(headers, 'keep-alive'));
-    this.#takeReport(report, status);
+    this.#applyReport(report, status);
     if (report.isRejected || report.isMisdirected) {
       response.resume();
       this.#settle({ kind: 'not-run', cause: report.isMisdirected ? 'misdirected' : 'shed' });
       return;
     }
-    this.#hold(response, report.isSigned);
+    this.#readBody(response, report.isSigned);
   }
 
-  #takeReport(report: SelfReport, status: number): void {
+  #applyReport(report: SelfReport, status: number): void {
     const { target, startedAt } = this;
-    // The answered call is still counted here, and no longer there.
-    const own = target.load.countArrived(this.clock.now()) - 1;
-    const isGood = !report.isRejected && report.isSigned && status < SERVER_ERROR;
-    target.receiveReport(report, { sentAt: startedAt, ownCalls: own, isSuccess: isGood });
+    // The answered call is still counted on this side, but no longer in the target's report.
+    const ownCalls = target.load.countArrived(this.clock.now()) - 1;
+    const isSuccess = !report.isRejected && report.isSigned && status < MIN_FAILURE_STATUS;
+    target.receiveReport(report, { sentAt: startedAt, ownCalls, isSuccess });
   }
 
-  #hold(response: IncomingMessage, isSigned: boolean): void {
+  #readBody(response: IncomingMessage, isSigned: boolean): void {
     const chunks: Buffer[] = [];
     let length = 0;
-    const answer = (rest: IncomingMessage | undefined): AttemptOutcome => ({
+    const createOutcome = (rest: IncomingMessage | undefined): AttemptOutcome => ({
       kind: 'answered',
       answer: {
         status: response.statusCode ?? 0,
@@ -218,29 +234,29 @@
     const onData = (chunk: Buffer) => {
       chunks.push(chunk);
       length += chunk.length;
-      if (length <= HELD_BYTES) return;
+      if (length <= MAX_BUFFERED_ANSWER_BYTES) return;
       response.pause();
       response.removeListener('data', onData);
       response.removeListener('end', onEnd);
-      this.#settle(answer(response));
+      this.#settle(createOutcome(response));
     };
     const onEnd = () => {
-      if (response.complete) this.#settle(answer(undefined));
-      else this.#lose('the answer broke off');
+      if (response.complete) this.#settle(createOutcome(undefined));
+      else this.#settleLost('the answer broke off');
     };
     response.on('data', onData);
     response.on('end', onEnd);
-    response.on('aborted', () => this.#lose('the answer broke off'));
+    response.on('aborted', () => this.#settleLost('the answer broke off'));
   }
 }
 
-/** Starts an attempt at a target where the call is counted already. */
+/** Starts an attempt at a target that already counts the call. */
 export function startTargetAttempt(
   target: GatewayTarget,
-  sending: Sending,
+  outgoing: OutgoingRequest,
   options: { readonly isRepeatable: boolean; readonly clock: Clock },
 ): RunningAttempt {
-  const attempt = new TargetAttempt(target, sending, options.clock.now(), options.clock);
+  const attempt = new TargetAttempt(target, outgoing, options.clock.now(), options.clock);
   attempt.done.then(() => target.load.finish()).catch(() => undefined);
   attempt.send(options.isRepeatable).catch(() => undefined);
   return attempt;
--- a/src/gateway/requests/backlog.ts
+++ b/src/gateway/requests/backlog.ts
@@ -1,120 +1,134 @@
 /**
- * Requests that were read and are not begun yet: the line for this daemon's own processor.
+ * Requests that have been read but not started: the queue for this daemon's own CPU.
  *
- * The pattern answered: more requests than the daemon can handle, as in a burst or when callers repeat. The
- * event loop accepts one connection in a turn and serves what it reads in the same turn, so with more work
- * than time connections wait for seconds where nothing sees them; when they are read their callers have
- * left, and the time goes to them. So reading goes before beginning. What has come is read as far as
- * possible, nothing is begun for a caller that has left, a few requests are begun in a turn, and the
- * others are ordered and judged as those that wait for a target, with the processor's own pace.
+ * It handles more requests than the daemon can process, as in a burst or when callers retry. The
+ * event loop accepts one connection per iteration and serves what it reads in the same iteration.
+ * Under overload, connections would wait for seconds in the listen queue, where nothing can order
+ * or refuse them; by the time they are read their callers have left, and the CPU time is spent on
+ * them. So reading has priority over starting: all pending input is read as far as possible,
+ * nothing is started for a caller that has left, only a few requests are started per iteration, and
+ * the others are ordered and refused like calls that wait for a target, at the pace of the daemon's
+ * own CPU.
  *
- * What it buys: more calls are served, none is held on past its time-out, and hardly any is sent on for a caller that
- * has left (`test/overdue.test.ts`).
+ * As a result, more calls are served, none is held past its time-out, and hardly any is forwarded
+ * for a caller that has left (`test/overdue.test.ts`).
  */
 import { DecayingMean, type QueuedCall, QuantileEstimate, WaitQueue } from '../../balance/index.js';
 import type { Clock, Random } from '../../kernel/index.js';
 import type { EventLoopMonitor } from '../event-loop-monitor.js';
 
-/** A request that was read. Times are on the clock, in milliseconds. */
+/** A request that was read. Times are on the kernel's clock, in milliseconds. */
 export interface BacklogCall extends QueuedCall {
-  /** When it is estimated to have come. */
-  readonly cameAt: number;
+  /** When it is estimated to have arrived at this machine. */
+  readonly estimatedArrivalAt: number;
   /** Whether its caller has left. */
-  readonly isGone: () => boolean;
-  readonly begin: () => void;
-  /** Tells its caller that it has not run, and after how long it may return. */
+  readonly hasCallerLeft: () => boolean;
+  readonly start: () => void;
+  /** Answers that it has not run and may be retried after `wait` milliseconds. */
   readonly refuse: (wait: number) => void;
   /** Ends it without an answer. */
   readonly drop: () => void;
 }
 
-/** What the backlog is made from. */
+/** Dependencies of the backlog. */
 export interface BacklogOptions {
   readonly clock: Pick<Clock, 'now'>;
   readonly random: Random;
-  readonly turns: Pick<
+  readonly eventLoop: Pick<
     EventLoopMonitor,
     'mayHavePendingConnections' | 'accepted' | 'hasRecentListenOverflow' | 'scheduleAfterIteration'
   >;
 }
 
 /**
- * Time in a turn for beginning requests, in milliseconds. What was begun makes about twice as much work in later
- * turns, so turns stay near three times this: below what callers with aims of 100 ms notice.
+ * Time per event-loop iteration for starting requests, in milliseconds. Started requests cause
+ * about twice as much work in later iterations, so an iteration takes about three times this: too
+ * short to be noticed by callers with target latencies of 100 ms.
  */
-const BEGIN_TIME = 5;
+const MAX_START_TIME_MS = 5;
 
 /**
- * While connections wait to be accepted nothing is begun until this many were. A count, as the processor may be
- * taken away at any moment: they take as much time as what is begun in a turn.
+ * While connections wait to be accepted, nothing is started until this many more were accepted. It
+ * is a count and not a time, since the CPU may be taken away at any moment; accepting them takes as
+ * long as the requests started in one iteration.
  */
-const READING_COUNT = 12;
+const MAX_ACCEPTS_BEFORE_START = 12;
 
 /**
- * A request that may have lain unread for longer than this is begun after one more look at its connection:
- * its caller's leaving is read in a turn of its own. In milliseconds, shorter than any caller waits. The same
- * holds for every request while connections may come whose callers have waited elsewhere, and left.
+ * A request that may have been unread for longer than this is started only after its connection was
+ * polled once more, because the caller's close is read in an iteration of its own. In milliseconds;
+ * shorter than any caller waits. The same applies to every request while connections may arrive
+ * whose callers have waited in the kernel unseen and left.
  */
-const LOOK_AGAIN = 20;
+const MAX_UNREAD_TIME_MS = 20;
 
-/** Time to begin the first request, with code that is cold, in milliseconds. */
-const FIRST_COST = 2;
+/** Initial estimate of the time to start a request, before the code is warm, in milliseconds. */
+const INITIAL_COST_MS = 2;
 
-/** The pace follows some dozens of requests, in milliseconds. */
-const HALF_LIFE = 500;
+/** Half-life of the mean interval between starts, in milliseconds: some dozens of requests. */
+const PACE_HALF_LIFE_MS = 500;
 
-/** Requests begun in one turn at most, however cheap they seem: each sends to a target at once. */
-const MOST_IN_TURN = 64;
+/**
+ * Most requests started in one iteration, however cheap they are: each one sends to a target at
+ * once.
+ */
+const MAX_BATCH_SIZE = 64;
 
 /** The backlog of one daemon. */
 export class Backlog {
-  readonly #line: WaitQueue<BacklogCall>;
+  readonly #queue: WaitQueue<BacklogCall>;
 
-  /** Requests that came since the last look at all connections. */
-  #fresh = new Set<BacklogCall>();
+  /** Requests that were added since all connections were last polled. */
+  #unpolled = new Set<BacklogCall>();
 
-  /** Time to begin one: the median, since the processor may be taken away while one is begun. */
-  readonly #cost = new QuantileEstimate(0.5);
+  /** Time to start one request: the median, since the CPU may be taken away meanwhile. */
+  readonly #startCost = new QuantileEstimate(0.5);
 
-  readonly #pace = new DecayingMean(HALF_LIFE);
+  readonly #pace = new DecayingMean(PACE_HALF_LIFE_MS);
 
   #isScheduled = false;
 
-  /** Connections accepted when something was begun last. */
-  #acceptedBefore = 0;
+  /** Connections accepted when requests were last started. */
+  #acceptedAtLastStart = 0;
 
-  /** The last turn with requests left over, and how many it began; undefined when none are. */
-  #leftOver: { readonly at: number; readonly begun: number } | undefined;
+  /**
+   * The last iteration that left requests waiting, and how many it started; undefined when none are
+   * left.
+   */
+  #lastPartialBatch: { readonly at: number; readonly startedCount: number } | undefined;
 
   constructor(private readonly options: BacklogOptions) {
-    this.#line = new WaitQueue(options.clock, options.random);
+    this.#queue = new WaitQueue(options.clock, options.random);
   }
 
-  /** Requests that wait. */
+  /** Number of waiting requests. */
   get size(): number {
-    return this.#line.size;
+    return this.#queue.size;
   }
 
-  /** Time between two beginnings while requests wait, in milliseconds. */
+  /** Time between two starts while requests wait, in milliseconds. */
   get pace(): number {
-    return this.#pace.read(this.#cost.read(FIRST_COST));
+    return this.#pace.read(this.#startCost.read(INITIAL_COST_MS));
   }
 
-  /** Takes a request: it is begun at the end of this turn, or waits for a later one, or is refused. */
+  /**
+   * Adds a request: it starts at the end of this event-loop iteration, waits for a later one, or is
+   * refused.
+   */
   add(call: BacklogCall): void {
-    this.#line.recordArrival(call);
-    this.#line.updatePace(this.pace, 1);
+    this.#queue.recordArrival(call);
+    this.#queue.updatePace(this.pace, 1);
     let isSure = true;
-    if (this.size >= this.#countBatch()) {
-      const admission = this.#line.judge(call);
+    if (this.size >= this.#computeBatchSize()) {
+      const admission = this.#queue.judge(call);
       if (admission.kind === 'refuse' && call.mayBeRefused && call.isWorkKnown) {
-        call.refuse(this.#line.chooseRetryDelay(admission.wait));
+        call.refuse(this.#queue.chooseRetryDelay(admission.wait));
         return;
       }
       isSure = admission.kind === 'in-time';
     }
-    this.#line.add(call, isSure);
-    this.#fresh.add(call);
+    this.#queue.add(call, isSure);
+    this.#unpolled.add(call);
     this.#schedule();
   }
 
@@ -122,64 +136,74 @@
     if (this.#isScheduled || this.size === 0) return;
     this.#isScheduled = true;
     let startedAt = 0;
-    let begun = 0;
-    this.options.turns.scheduleAfterIteration(() => {
+    let startedCount = 0;
+    this.options.eventLoop.scheduleAfterIteration(() => {
       this.#isScheduled = false;
       startedAt = this.options.clock.now();
-      begun = this.#serve(startedAt);
+      startedCount = this.#startBatch(startedAt);
       this.#schedule();
     });
-    // Runs after all that the requests begun do at once.
-    this.options.turns.scheduleAfterIteration(() => {
-      if (begun > 0) this.#cost.add((this.options.clock.now() - startedAt) / begun);
+    // Runs after the synchronous work of the started requests.
+    this.options.eventLoop.scheduleAfterIteration(() => {
+      if (startedCount > 0)
+        this.#startCost.add((this.options.clock.now() - startedAt) / startedCount);
     });
   }
 
-  #countBatch(): number {
-    const count = Math.floor(BEGIN_TIME / Math.max(0.01, this.#cost.read(FIRST_COST)));
-    return Math.min(MOST_IN_TURN, Math.max(1, count));
+  #computeBatchSize(): number {
+    const count = Math.floor(
+      MAX_START_TIME_MS / Math.max(0.01, this.#startCost.read(INITIAL_COST_MS)),
+    );
+    return Math.min(MAX_BATCH_SIZE, Math.max(1, count));
   }
 
-  /** Begins the requests whose turn has come; returns how many. */
-  #serve(now: number): number {
-    const fresh = this.#fresh;
-    this.#fresh = new Set();
-    const { turns } = this.options;
-    if (turns.mayHavePendingConnections && turns.accepted - this.#acceptedBefore < READING_COUNT)
+  /** Starts the next requests and returns how many. */
+  #startBatch(now: number): number {
+    const unpolled = this.#unpolled;
+    this.#unpolled = new Set();
+    const { eventLoop } = this.options;
+    if (
+      eventLoop.mayHavePendingConnections &&
+      eventLoop.accepted - this.#acceptedAtLastStart < MAX_ACCEPTS_BEFORE_START
+    )
       return 0;
-    this.#acceptedBefore = turns.accepted;
-    const batch = this.#countBatch();
-    let begun = 0;
-    for (const call of this.#line.list()) {
-      if (call.isGone()) {
-        this.#line.remove(call);
+    this.#acceptedAtLastStart = eventLoop.accepted;
+    const batchSize = this.#computeBatchSize();
+    let startedCount = 0;
+    for (const call of this.#queue.list()) {
+      if (call.hasCallerLeft()) {
+        this.#queue.remove(call);
         call.drop();
         continue;
       }
-      if (begun >= batch) break;
-      if (fresh.has(call) && (turns.hasRecentListenOverflow || now - call.cameAt > LOOK_AGAIN))
+      if (startedCount >= batchSize) break;
+      if (
+        unpolled.has(call) &&
+        (eventLoop.hasRecentListenOverflow || now - call.estimatedArrivalAt > MAX_UNREAD_TIME_MS)
+      )
         continue;
-      this.#line.remove(call);
-      call.begin();
-      begun += 1;
+      this.#queue.remove(call);
+      call.start();
+      startedCount += 1;
     }
-    this.#notePace(begun, now);
-    for (const { call, wait } of this.#line.removeHopeless()) {
-      if (call.isGone()) call.drop();
-      else call.refuse(this.#line.chooseRetryDelay(wait));
+    this.#recordPace(startedCount, now);
+    for (const { call, wait } of this.#queue.removeHopeless()) {
+      if (call.hasCallerLeft()) call.drop();
+      else call.refuse(this.#queue.chooseRetryDelay(wait));
     }
-    return begun;
+    return startedCount;
   }
 
-  /** Learns the pace from turns after which requests were left over. */
-  #notePace(begun: number, now: number): void {
-    const since = this.#leftOver;
-    if (since !== undefined && since.begun > 0) {
-      this.#pace.add((now - since.at) / since.begun, now);
-      this.#line.updatePace(this.pace, 1);
+  /** Updates the mean interval between starts, from iterations that left requests waiting. */
+  #recordPace(startedCount: number, now: number): void {
+    const previous = this.#lastPartialBatch;
+    if (previous !== undefined && previous.startedCount > 0) {
+      this.#pace.add((now - previous.at) / previous.startedCount, now);
+      this.#queue.updatePace(this.pace, 1);
     }
-    if (this.size === 0) this.#leftOver = undefined;
-    else if (since === undefined || since.begun > 0) this.#leftOver = { at: now, begun };
-    else this.#leftOver = { at: since.at, begun };
+    if (this.size === 0) this.#lastPartialBatch = undefined;
+    else if (previous === undefined || previous.startedCount > 0)
+      this.#lastPartialBatch = { at: now, startedCount };
+    else this.#lastPartialBatch = { at: previous.at, startedCount };
   }
 }
--- a/src/gateway/requests/request-reader.ts
+++ b/src/gateway/requests/request-reader.ts
@@ -1,34 +1,46 @@
-/** Reads a caller's request: its head against the operators' limits, its route, its body. */
+/**
+ * Reads a caller's request: checks its head against the operators' limits, reads its body, and
+ * builds the headers for targets.
+ */
 import type { IncomingMessage } from 'node:http';
 import { type Readable, Transform } from 'node:stream';
 import { checkHead, normalizeTarget } from '../../proxy/door.js';
 import { listPairs } from '../../proxy/headers.js';
 import { HEADERS } from '../../platform/index.js';
 import type { RequestLimits } from '../../routing/index.js';
-import type { Told } from './answers.js';
+import type { LocalAnswer } from './answers.js';
 import type { GatewayTarget } from '../targets/target.js';
 
-/** Bodies up to this length are read whole before a target is chosen, so that they can be sent again. */
-export const HELD_BODY = 1_048_576;
+/**
+ * Bodies up to this many bytes are read whole before a target is chosen, so that they can be sent
+ * again.
+ */
+export const MAX_BUFFERED_BODY_BYTES = 1_048_576;
 
-const TOO_LARGE = 413;
+const BODY_TOO_LARGE = 413;
 const HEADERS_TOO_LARGE = 431;
 
-/** Bytes that each header line needs besides its name and value. */
-const LINE_BYTES = 4;
+/** Bytes that each header line takes besides its name and value. */
+const HEADER_LINE_BYTES = 4;
 
 function countHeaderBytes(request: IncomingMessage): number {
   let bytes = (request.url ?? '').length + (request.method ?? '').length;
   for (const part of request.rawHeaders) bytes += part.length;
-  return bytes + (request.rawHeaders.length / 2) * LINE_BYTES;
+  return bytes + (request.rawHeaders.length / 2) * HEADER_LINE_BYTES;
 }
 
-function reject(status: number, reason: string): Told {
+function reject(status: number, reason: string): LocalAnswer {
   return { kind: 'bad-request', status, reason };
 }
 
-/** Checks the head of a request; undefined lets it in. */
-export function checkRequest(request: IncomingMessage, limits: RequestLimits): Told | undefined {
+/**
+ * Checks the head of a request; returns the answer that rejects it, or undefined when it is
+ * acceptable.
+ */
+export function checkRequest(
+  request: IncomingMessage,
+  limits: RequestLimits,
+): LocalAnswer | undefined {
   normalizeTarget(request);
   const refusal = checkHead(request);
   if (refusal !== undefined) return reject(refusal.status, refusal.detail);
@@ -41,16 +53,16 @@
   return undefined;
 }
 
-/** What became of reading a body. */
+/** The outcome of reading a body. */
 export type BodyResult =
   | { readonly kind: 'whole'; readonly data: Buffer | undefined }
-  /** Too long to hold: the stream of a body that can be sent once. */
+  /** Too long to buffer: the stream of a body that can be sent only once. */
   | { readonly kind: 'stream'; readonly source: Readable }
-  | { readonly kind: 'refused'; readonly told: Told }
-  /** The caller went away. */
+  | { readonly kind: 'refused'; readonly answer: LocalAnswer }
+  /** The caller has left. */
   | { readonly kind: 'gone' };
 
-/** Reads a body whole, as far as it may be held. */
+/** Reads a body whole, or returns its stream if it is too long to buffer. */
 export function readBody(request: IncomingMessage, limits: RequestLimits): Promise<BodyResult> {
   const { headers } = request;
   const length = Number(headers['content-length'] ?? 0);
@@ -61,19 +73,19 @@
       data: headers['content-length'] === undefined ? undefined : Buffer.alloc(0),
     });
   }
-  if (length > HELD_BODY) return Promise.resolve({ kind: 'stream', source: request });
+  if (length > MAX_BUFFERED_BODY_BYTES) return Promise.resolve({ kind: 'stream', source: request });
   return new Promise((resolve) => {
     const chunks: Buffer[] = [];
     let bytes = 0;
     const onData = (chunk: Buffer) => {
       bytes += chunk.length;
       if (bytes > limits.bodyBytes) {
-        resolve({ kind: 'refused', told: rejectBody(limits) });
+        resolve({ kind: 'refused', answer: rejectBody(limits) });
         return;
       }
       chunks.push(chunk);
-      if (bytes <= HELD_BODY) return;
-      // Too long to hold: what was read goes back, and the rest passes through.
+      if (bytes <= MAX_BUFFERED_BODY_BYTES) return;
+      // Too long to buffer: what was read is put back, and the whole body is streamed.
       request.pause();
       request.removeListener('data', onData);
       request.unshift(Buffer.concat(chunks));
@@ -86,11 +98,11 @@
   });
 }
 
-function rejectBody({ bodyBytes }: RequestLimits): Told {
-  return reject(TOO_LARGE, `a body over ${bodyBytes} bytes`);
+function rejectBody({ bodyBytes }: RequestLimits): LocalAnswer {
+  return reject(BODY_TOO_LARGE, `a body over ${bodyBytes} bytes`);
 }
 
-/** Passes a body on while it stays within the limit; a longer one ends the request. */
+/** Streams a body up to the limit; a longer one destroys the request. */
 function createLimiter(request: IncomingMessage, { bodyBytes }: RequestLimits): Readable {
   let bytes = 0;
   const limiter = new Transform({
@@ -103,8 +115,8 @@
   return request.pipe(limiter);
 }
 
-/** Headers that end at this daemon, and those that it sets itself. */
-const NOT_PASSED_ON = new Set([
+/** Headers that apply to the caller's connection only, and those that this daemon sets itself. */
+const DROPPED_HEADERS = new Set([
   ...['connection', 'keep-alive', 'proxy-connection', 'proxy-authenticate', 'te', 'trailer'],
   ...['transfer-encoding', 'upgrade', 'expect', 'content-length'],
   ...[HEADERS.timeLeft.toLowerCase(), HEADERS.expectedIncarnation.toLowerCase()],
@@ -115,26 +127,29 @@
   return new Set(value.split(',').map((option) => option.trim().toLowerCase()));
 }
 
-/** Builds the headers that each target gets, but for what depends on the target. */
-export function buildPassedHeaders(request: IncomingMessage): readonly string[] {
+/** Builds the headers that are the same for every target. */
+export function buildCommonHeaders(request: IncomingMessage): readonly string[] {
   const options = listConnectionOptions(request);
-  const passed: string[] = [];
+  const headers: string[] = [];
   for (const [name, value] of listPairs(request.rawHeaders)) {
     const lower = name.toLowerCase();
-    if (NOT_PASSED_ON.has(lower) || options.has(lower)) continue;
-    passed.push(name, value);
+    if (DROPPED_HEADERS.has(lower) || options.has(lower)) continue;
+    headers.push(name, value);
   }
-  return passed;
+  return headers;
 }
 
-/** Adds what one target is told: the time left, who must answer, and the length of the body. */
+/**
+ * Adds the headers for one target: the time left, the incarnation that must answer, and the length
+ * of the body.
+ */
 export function buildTargetHeaders(
-  passed: readonly string[],
+  commonHeaders: readonly string[],
   target: GatewayTarget,
   { timeLeft, length }: { readonly timeLeft: number; readonly length: number | undefined },
 ): readonly string[] {
   const headers = [
-    ...passed,
+    ...commonHeaders,
     ...[HEADERS.timeLeft, String(Math.max(1, Math.floor(timeLeft)))],
     ...[HEADERS.expectedIncarnation, target.record.incarnation],
   ];
--- a/test/poison.test.ts
+++ b/test/poison.test.ts
@@ -1,14 +1,12 @@
 /**
- * A request that ends every target that begins to run it.
+ * Guards against a poison request, which ends every target that begins to run it.
  *
- * Seen: 71 targets of a service of 30 ended within half a minute, each some 70 ms after one and the same look-up
- * had begun there, and took what else they ran with them. The caller got 502 after two targets, tried again, and
- * came back at other daemons; each of its tries ended up to two more targets.
- *
- * How it came about: a daemon keeps of a lost attempt only that its target failed, and forgets the request with
- * its last answer. So a repeat after a reset and a repeat after the end of a target were the same, and neither the
- * next try nor another daemon knew that the request had ended anything. Proof: below, the same at daemons of our
- * own and targets that end so; the count of ended targets grows with the tries.
+ * In one case 71 targets of a service of 30 ended within half a minute, each some 70 ms after the
+ * same look-up had begun there, and other requests on them were lost. The caller got 502 after two
+ * targets and retried, also at other daemons; each try ended up to two more targets. A daemon that
+ * remembers of a lost attempt only that its target failed treats the end of a target like a reset
+ * connection, and neither the next try nor another daemon knows that the request has ended targets
+ * before. So the number of ended targets grows with the tries.
  */
 import { expect } from 'chai';
 import { WindowBudget } from '../src/balance/index.js';
@@ -26,19 +24,19 @@
 
 const POISON = '/a/poison?page=3';
 
-/** Until a target ends under the request, and until it is back; milliseconds. */
-const RUN_TIME = 25;
-const AWAY_TIME = 400;
+/** Time until a target ends under the request, and until it is back, in milliseconds. */
+const RUN_TIME_MS = 25;
+const DOWN_TIME_MS = 400;
 
 const TARGETS = 8;
 const DAEMONS = 3;
 
-describe('a request that ends every target that runs it', () => {
+describe('a poison request, which ends every target that runs it', () => {
   let site: Site;
   let ips: readonly string[];
   const timers = new Set<NodeJS.Timeout>();
 
-  const later = (time: number, action: () => void) => {
+  const schedule = (time: number, action: () => void) => {
     const timer = setTimeout(() => {
       timers.delete(timer);
       action();
@@ -46,26 +44,26 @@
     timers.add(timer);
   };
 
-  /** Ends a target; it is back after a while, under its name, as a later start. */
+  /** Ends a target; after a while it is back under the same name with a later start time. */
   const crash = (target: SiteTarget) => {
     target.crash();
-    const life = Date.now();
-    later(AWAY_TIME, () => {
+    const bornAt = Date.now();
+    schedule(DOWN_TIME_MS, () => {
       target
         .restart()
         .then(() => {
-          const entry = writeTarget(target.address, { born: life });
+          const entry = writeTarget(target.address, { born: bornAt });
           site.store.put(KEYS.targets + target.incarnation, entry);
         })
         .catch(() => undefined);
     });
   };
 
-  /** Takes what the targets do with the request, and what their entries say. */
-  const release = (version: string) => {
+  /** Releases a version of the targets that answers every request. */
+  const releaseVersion = (version: string) => {
     for (const target of site.targets) {
       target.behaviour = (request, response) =>
-        later(RUN_TIME, () => target.answer(request, response));
+        schedule(RUN_TIME_MS, () => target.answer(request, response));
       const entry = writeTarget(target.address, { version, born: Date.now() });
       site.store.put(KEYS.targets + target.incarnation, entry);
     }
@@ -78,8 +76,8 @@
     for (let index = 0; index < TARGETS; index += 1) {
       const target = await site.addTarget();
       const run: Behaviour = (request, response) => {
-        if (request.url?.includes('poison') === true) later(RUN_TIME, () => crash(target));
-        else later(RUN_TIME, () => target.answer(request, response));
+        if (request.url?.includes('poison') === true) schedule(RUN_TIME_MS, () => crash(target));
+        else schedule(RUN_TIME_MS, () => target.answer(request, response));
       };
       target.behaviour = run;
     }
@@ -95,33 +93,33 @@
     site.stop();
   });
 
-  /** Sends it again and again, at one daemon after the other, beside other requests. */
-  const press = async (path: string, time: number, method = 'GET') => {
+  /** Sends a request repeatedly, at one daemon after the other, along with other requests. */
+  const sendRepeatedly = async (path: string, time: number, method = 'GET') => {
     const replies: CallerReply[] = [];
-    const innocents: Promise<CallerReply | undefined>[] = [];
+    const pendingReplies: Promise<CallerReply | undefined>[] = [];
     const until = performance.now() + time;
     for (let turn = 0; performance.now() < until; turn += 1) {
       const ip = ips[turn % ips.length];
       for (let index = 0; index < 4; index += 1) {
-        innocents.push(sendTo(ip, { path: `/a/${turn}-${index}` }).catch(() => undefined));
+        pendingReplies.push(sendTo(ip, { path: `/a/${turn}-${index}` }).catch(() => undefined));
       }
       replies.push(await sendTo(ip, { path, method }));
       await pause(40);
     }
-    return { replies, innocents: await Promise.all(innocents) };
+    return { replies, otherReplies: await Promise.all(pendingReplies) };
   };
 
-  it('ends two targets in all, at whatever daemon it comes', async () => {
-    const { replies, innocents } = await press(POISON, 4000);
+  it('ends at most two targets, whichever daemons it is sent to', async () => {
+    const { replies, otherReplies } = await sendRepeatedly(POISON, 4000);
     expect(countEnded(), 'targets ended').to.be.within(1, 2);
     expect(replies.length).to.be.greaterThan(20);
     const refused = replies.filter(({ status }) => status === 503);
     expect(refused.length).to.be.greaterThan(replies.length - 3);
-    const served = innocents.filter((reply) => reply?.status === 200);
-    expect(served.length / innocents.length).to.be.greaterThan(0.99);
+    const served = otherReplies.filter((reply) => reply?.status === 200);
+    expect(served.length / otherReplies.length).to.be.greaterThan(0.99);
   });
-  it('is told of truthfully: a try that was sent is unknown, one that was not is not run', async () => {
-    const { replies } = await press(POISON, 1500);
+  it('is answered correctly: 503 for a try that was not sent, another status for one that was', async () => {
+    const { replies } = await sendRepeatedly(POISON, 1500);
     const ran = new Set(site.targets.flatMap((target) => target.ran));
     expect(replies.some(({ status }) => status === 502)).to.equal(true);
     for (const { status, headers } of replies) {
@@ -130,7 +128,7 @@
       expect(ran.has(id), `${id}: ${status}`).to.equal(status !== 503);
     }
   });
-  it('ends three where its caller changes the parameters each time', async () => {
+  it('ends at most three targets if its caller changes the parameters each time', async () => {
     const until = performance.now() + 3000;
     for (let turn = 0; performance.now() < until; turn += 1) {
       await sendTo(ips[turn % ips.length], { path: `/a/poison?page=${turn}` });
@@ -138,7 +136,7 @@
     }
     expect(countEnded()).to.be.within(1, 3);
   });
-  it('ends three where many callers send it', async () => {
+  it('ends at most three targets if many callers send it', async () => {
     const until = performance.now() + 3000;
     for (let turn = 0; performance.now() < until; turn += 1) {
       const from = `127.0.8.${1 + (turn % 200)}`;
@@ -147,11 +145,11 @@
     }
     expect(countEnded()).to.be.within(1, 3);
   });
-  it('does not keep others from its path, whose requests targets run', async () => {
+  it('does not block harmless requests for the same path', async () => {
     for (const target of site.targets) {
       target.behaviour = (request, response) => {
-        if (request.headers['x-bad'] !== undefined) later(RUN_TIME, () => crash(target));
-        else later(RUN_TIME, () => target.answer(request, response));
+        if (request.headers['x-bad'] !== undefined) schedule(RUN_TIME_MS, () => crash(target));
+        else schedule(RUN_TIME_MS, () => target.answer(request, response));
       };
     }
     const statuses: number[] = [];
@@ -164,7 +162,7 @@
     expect(new Set(statuses)).to.deep.equal(new Set([200]));
     expect(countEnded()).to.be.within(1, 2);
   });
-  it('is not taken for a page that all read while several targets end at one moment', async () => {
+  it('is not confused with a popular page that is requested while several targets end at once', async () => {
     const replies: Promise<CallerReply>[] = [];
     for (let turn = 0; turn < 600; turn += 1) {
       const from = `127.0.8.${1 + (turn % 50)}`;
@@ -175,39 +173,39 @@
     const statuses = (await Promise.all(replies)).map(({ status }) => status);
     expect(statuses.filter((status) => status !== 200).length).to.be.below(12);
   });
-  it('ends two where it may not be repeated by us, as its caller does that', async () => {
-    await press('/once/poison', 2500, 'POST');
+  it('ends at most two targets if the gateway may not retry it but its caller does', async () => {
+    await sendRepeatedly('/once/poison', 2500, 'POST');
     expect(countEnded()).to.be.within(1, 2);
   });
-  it('ends two where other targets fail it before they begin', async () => {
+  it('ends at most two targets if other targets fail it before running it', async () => {
     for (const target of site.targets.slice(0, TARGETS / 2)) {
       target.behaviour = (request, response) => {
         const isPoison = request.url?.includes('poison') === true;
         if (isPoison) response.writeHead(500, { 'Server-Signature': 'sig.1' }).end();
-        else later(RUN_TIME, () => target.answer(request, response));
+        else schedule(RUN_TIME_MS, () => target.answer(request, response));
       };
     }
-    await press(POISON, 2500);
+    await sendRepeatedly(POISON, 2500);
     expect(countEnded()).to.be.within(1, 2);
   });
-  it('is known to a daemon that starts, and to all after a loss of all power', async () => {
-    await press(POISON, 1000);
+  it('is known to a daemon that starts, and to all daemons after all of them lost power', async () => {
+    await sendRepeatedly(POISON, 1000);
     const ended = countEnded();
-    const newcomer = await site.addGateway([ips[0]]);
-    expect((await sendTo(newcomer, { path: POISON })).status).to.equal(503);
+    const startedLater = await site.addGateway([ips[0]]);
+    expect((await sendTo(startedLater, { path: POISON })).status).to.equal(503);
     const isStored = () => site.store.get(KEYS.learnedState)?.includes('"poison":[{') === true;
     await waitUntil(isStored, 'the store keeps it');
     for (const { gateway } of site.gateways) gateway.destroy();
     const first = await site.addGateway();
     ips = [first, await site.addGateway([first]), await site.addGateway([first])];
-    await press(POISON, 1500);
+    await sendRepeatedly(POISON, 1500);
     expect(countEnded()).to.equal(ended);
   });
-  it('is served soon after a release that mends the targets', async () => {
-    await press(POISON, 1000);
+  it('is served soon after a release that fixes the targets', async () => {
+    await sendRepeatedly(POISON, 1000);
     const ended = countEnded();
-    await pause(2 * AWAY_TIME);
-    release('v2');
+    await pause(2 * DOWN_TIME_MS);
+    releaseVersion('v2');
     let isServed = false;
     for (let turn = 0; turn < 30 && !isServed; turn += 1) {
       const replies = await Promise.all(ips.map((ip) => sendTo(ip, { path: POISON })));
@@ -218,33 +216,35 @@
     for (const ip of ips) expect((await sendTo(ip, { path: POISON })).status).to.equal(200);
     expect(countEnded()).to.equal(ended);
   });
-  it('is not taken for one that loses its connection, whose targets live', async () => {
+  it('is not confused with a request that loses its connection while its target lives', async () => {
     for (const target of site.targets) target.behaviour = (request) => request.socket.destroy();
-    const { replies } = await press(POISON, 1000);
+    const { replies } = await sendRepeatedly(POISON, 1000);
     expect(new Set(replies.map(({ status }) => status))).to.deep.equal(new Set([502]));
     expect(site.events.some(({ event }) => event === 'poison.suspected')).to.equal(false);
   });
-  it('is not taken for one that was lost with targets that end by themselves', async () => {
-    const flapping = site.targets.slice(0, TARGETS / 2);
-    const flap = (turn: number) => {
-      const target = flapping[turn % flapping.length];
+  it('is not confused with requests that are lost with targets that crash on their own', async () => {
+    const unstable = site.targets.slice(0, TARGETS / 2);
+    const crashNext = (turn: number) => {
+      const target = unstable[turn % unstable.length];
       if (target.isListening) crash(target);
-      later(130, () => flap(turn + 1));
+      schedule(130, () => crashNext(turn + 1));
     };
-    flap(0);
-    const { innocents } = await press('/a/same', 5000);
-    const told = innocents.map((reply) => reply?.text ?? '');
+    crashNext(0);
+    const { otherReplies } = await sendRepeatedly('/a/same', 5000);
+    const bodies = otherReplies.map((reply) => reply?.text ?? '');
     expect(site.events.some(({ event }) => event === 'poison.suspected')).to.equal(true);
-    expect(told.filter((text) => text.includes('poison')).length / told.length).to.be.below(0.005);
-    const served = innocents.filter((reply) => reply?.status === 200);
-    expect(served.length / innocents.length).to.be.greaterThan(0.98);
+    expect(bodies.filter((text) => text.includes('poison')).length / bodies.length).to.be.below(
+      0.005,
+    );
+    const served = otherReplies.filter((reply) => reply?.status === 200);
+    expect(served.length / otherReplies.length).to.be.greaterThan(0.98);
   });
 });
 
-describe('where a request under which a target has ended goes', () => {
+describe('the target chosen for a request under which a target has ended', () => {
   const NOW = 1_700_000_000_000;
   const clock = new ManualClock(NOW);
-  const care = { avoidedReleases: [] };
+  const suspect = { avoidedReleases: [] };
   let service: TargetService;
   const add = (view: FleetView, name: string, record: Partial<TargetRecord>) => {
     const address = { host: '127.0.0.1', port: 1 };
@@ -275,36 +275,36 @@
     service = targets.getService('s');
   });
 
-  const choose = (wish: Partial<PlacementRequest> = {}) => {
-    const advice = service.chooseTarget(
-      { tried: new Set(), work: 10, bodyBytes: 0, suspect: care, ...wish },
+  const choose = (request: Partial<PlacementRequest> = {}) => {
+    const choice = service.chooseTarget(
+      { tried: new Set(), work: 10, bodyBytes: 0, suspect, ...request },
       0,
     );
-    return advice.kind === 'now' ? advice.candidate.record.incarnation : advice.kind;
+    return choice.kind === 'now' ? choice.candidate.record.incarnation : choice.kind;
   };
   const find = (name: string) => service.targets.get(name) ?? expect.fail(name);
   const fill = (name: string) => {
     for (let slot = 0; slot < 2; slot += 1) find(name).load.start(clock.now());
   };
 
-  it('is a target that has run for long, where no other one runs', () => {
+  it('is one that has been up for long and runs no other suspect', () => {
     find('old-1').suspectCalls = 1;
     for (let turn = 0; turn < 20; turn += 1) expect(choose()).to.equal('old-2');
   });
-  it('is any other rather than a place in the line', () => {
+  it('is a recently started one rather than a wait in the queue', () => {
     fill('old-1');
     fill('old-2');
     expect(choose()).to.equal('young');
-    // Then it waits for no other reason than any call would.
+    // With another suspect at the only target with a free slot, it waits, as any other call does.
     find('young').suspectCalls = 1;
     expect(choose()).to.equal('wait');
     expect(choose({ suspect: undefined })).to.equal('wait');
   });
-  it('is none of a release that it has ended', () => {
+  it('is none of a release of which it has ended targets', () => {
     expect(choose({ suspect: { avoidedReleases: ['v1'] } })).to.equal('young');
     expect(choose({ suspect: { avoidedReleases: ['v1', 'v2'] } })).to.equal('none');
   });
-  it('is avoided by others while there is room elsewhere', () => {
+  it('is avoided by other requests while other targets have free slots', () => {
     find('old-1').suspectCalls = 1;
     fill('young');
     for (let turn = 0; turn < 20; turn += 1)
