--- a/src/balance/admission.ts
+++ b/src/balance/admission.ts
@@ -33,9 +33,9 @@
   /** Calls that can be in time, as a share of the starts: from 1 on they leave nothing over. */
   readonly demand: number;
   /** For how long they have left nothing over. */
-  readonly overloadAge: number;
+  readonly overloadDuration: number;
   /** Calls that go first and can be in time. */
-  readonly ahead: number;
+  readonly inTimeAhead: number;
   /** Calls that are late already and go first among those. */
   readonly lateAhead: number;
 }
@@ -48,7 +48,7 @@
   | { readonly kind: 'refuse'; readonly wait: number };
 
 /** Less than this left over by calls that can be in time is within the error of the estimate. */
-const LEAST_LEFTOVER = 0.05;
+const MIN_LEFTOVER_SHARE = 0.05;
 
 /** Whether a call that would start after `wait` is expected to be in time. */
 export function isInTime({ now, aimAt, duration }: WaitTerms, wait = 0): boolean {
@@ -60,19 +60,19 @@
  * over. An overload is expected to go on for as long as it has gone on; nothing else is known of it.
  */
 export function estimateLateWait(outlook: QueueOutlook): number {
-  const { opensIn, pace, demand, overloadAge, ahead, lateAhead } = outlook;
+  const { opensIn, pace, demand, overloadDuration, inTimeAhead, lateAhead } = outlook;
   const leftover = 1 - demand;
-  if (leftover > LEAST_LEFTOVER) {
-    return opensIn + ahead * pace + ((lateAhead + 1) * pace) / leftover;
+  if (leftover > MIN_LEFTOVER_SHARE) {
+    return opensIn + inTimeAhead * pace + ((lateAhead + 1) * pace) / leftover;
   }
-  return opensIn + overloadAge + (ahead + lateAhead + 1) * pace;
+  return opensIn + overloadDuration + (inTimeAhead + lateAhead + 1) * pace;
 }
 
 /** Judges a call that could still be in time if it started now. */
 export function judgeArrival(call: WaitTerms, outlook: QueueOutlook): Admission {
-  const safe = { ...call, duration: call.duration * call.spread };
-  const { opensIn, ahead, pace } = outlook;
-  if (isInTime(safe, opensIn + (ahead + 1) * pace)) return { kind: 'in-time' };
+  const pessimistic = { ...call, duration: call.duration * call.spread };
+  const { opensIn, inTimeAhead, pace } = outlook;
+  if (isInTime(pessimistic, opensIn + (inTimeAhead + 1) * pace)) return { kind: 'in-time' };
   return judgeLate(call, outlook);
 }
 
@@ -84,26 +84,26 @@
 }
 
 /** How fast the rate of arrivals is followed: some dozens of calls, well within a burst. */
-const RATE_HALF_LIFE = 500;
+const RATE_HALF_LIFE_MS = 500;
 
 /** The rate of arrivals of late, by which overload is seen within half a second. */
 export class ArrivalRate {
   #count = 0;
 
-  #at = 0;
+  #countedAt = 0;
 
   /** Counts one arrival. */
-  note(now: number): void {
-    this.#count = this.#fade(now) + 1;
-    this.#at = now;
+  record(now: number): void {
+    this.#count = this.#decay(now) + 1;
+    this.#countedAt = now;
   }
 
   /** Arrivals a millisecond. */
   read(now: number): number {
-    return (this.#fade(now) * Math.LN2) / RATE_HALF_LIFE;
+    return (this.#decay(now) * Math.LN2) / RATE_HALF_LIFE_MS;
   }
 
-  #fade(now: number): number {
-    return this.#count * 0.5 ** ((now - this.#at) / RATE_HALF_LIFE);
+  #decay(now: number): number {
+    return this.#count * 0.5 ** ((now - this.#countedAt) / RATE_HALF_LIFE_MS);
   }
 }
--- a/src/balance/advertised-rate.ts
+++ b/src/balance/advertised-rate.ts
@@ -25,67 +25,67 @@
  * Requests a second that a target gets whatever it names. One that takes none at all, or one in many seconds, would
  * otherwise have nothing to answer when it takes more again.
  */
-const LEAST_RATE = 0.25;
+const MIN_RATE = 0.25;
 
 /** Once a target names no rate any more, what it gets doubles in this time, in milliseconds. */
-const DOUBLING = 200;
+const DOUBLING_MS = 200;
 
 /** After this long it gets what it would have got without one. */
-const RISE_TIME = 2000;
+const RAMP_MS = 2000;
 
 /** The newest word of one target. */
 export class AdvertisedRate {
-  #word: RateAnnouncement = { rate: undefined, at: -Infinity };
+  #announcement: RateAnnouncement = { rate: undefined, at: -Infinity };
 
-  #isOwn = false;
+  #isDirect = false;
 
-  #ended: { readonly rate: number; readonly heardAt: number } | undefined;
+  #ended: { readonly rate: number; readonly receivedAt: number } | undefined;
 
   /** Whether the target takes no more than it says. */
   get isLimited(): boolean {
-    return this.#word.rate !== undefined;
+    return this.#announcement.rate !== undefined;
   }
 
   /**
    * Takes a word unless a newer one is known; returns what it has changed.
    *
    * @param now when it is heard
-   * @param isOwn whether from the target itself
+   * @param isDirect whether from the target itself
    */
-  observe(word: RateAnnouncement, now: number, isOwn: boolean): RateChange | undefined {
-    if (word.at <= this.#word.at) return undefined;
-    const before = this.#word.rate;
-    this.#word = word;
-    this.#isOwn = isOwn || (this.#isOwn && before === word.rate);
-    if (before === word.rate) return undefined;
-    if (before !== undefined && word.rate === undefined) {
-      this.#ended = { rate: before, heardAt: now };
+  observe(announcement: RateAnnouncement, now: number, isDirect: boolean): RateChange | undefined {
+    if (announcement.at <= this.#announcement.at) return undefined;
+    const before = this.#announcement.rate;
+    this.#announcement = announcement;
+    this.#isDirect = isDirect || (this.#isDirect && before === announcement.rate);
+    if (before === announcement.rate) return undefined;
+    if (before !== undefined && announcement.rate === undefined) {
+      this.#ended = { rate: before, receivedAt: now };
     }
-    return { before, rate: word.rate };
+    return { before, rate: announcement.rate };
   }
 
   /** Reads the rate that all daemons keep to now; undefined when none. */
   read(now: number): SharedRate | undefined {
-    const { rate } = this.#word;
-    if (rate !== undefined) return spreadRate(rate);
+    const { rate } = this.#announcement;
+    if (rate !== undefined) return computeSharedRate(rate);
     if (this.#ended === undefined) return undefined;
-    const from = Math.max(LEAST_RATE, this.#ended.rate);
-    const rise = { from, doubling: DOUBLING, time: RISE_TIME };
-    const risen = computeRampRate(rise, now - this.#ended.heardAt);
-    if (risen !== undefined) return { rate: risen, maxSenders: MAX_SENDERS };
+    const startRate = Math.max(MIN_RATE, this.#ended.rate);
+    const ramp = { startRate, doublingTime: DOUBLING_MS, duration: RAMP_MS };
+    const rampRate = computeRampRate(ramp, now - this.#ended.receivedAt);
+    if (rampRate !== undefined) return { rate: rampRate, maxSenders: MAX_SENDERS };
     this.#ended = undefined;
     return undefined;
   }
 
   /** The word to tell others: heard from the target itself, and that it takes less than it could or did so of late. */
   readAnnouncement(now: number): RateAnnouncement | undefined {
-    if (!this.#isOwn) return undefined;
-    return this.read(now) === undefined ? undefined : this.#word;
+    if (!this.#isDirect) return undefined;
+    return this.read(now) === undefined ? undefined : this.#announcement;
   }
 }
 
 /** Of a small rate fewer homes have a part, so that none of them has to save up for long. */
-function spreadRate(named: number): SharedRate {
-  const rate = Math.max(LEAST_RATE, named);
+function computeSharedRate(announcedRate: number): SharedRate {
+  const rate = Math.max(MIN_RATE, announcedRate);
   return { rate, maxSenders: Math.min(MAX_SENDERS, Math.ceil(rate)) };
 }
--- a/src/balance/availability.ts
+++ b/src/balance/availability.ts
@@ -5,10 +5,10 @@
  * A back-off holds for this long at most, in milliseconds. A target that needs more should leave, and a wrong value must
  * not take a whole service away for hours.
  */
-const LONGEST_BACKOFF = 600_000;
+const MAX_BACKOFF_MS = 600_000;
 
 /** What a target gets from this daemon after a back-off. */
-const RISE: RateRamp = { from: 4, doubling: 150, time: 1000 };
+const BACKOFF_RAMP: RateRamp = { startRate: 4, doublingTime: 150, duration: 1000 };
 
 /** When and from whom it was learnt that a target drains. */
 export interface DrainingNotice {
@@ -47,14 +47,14 @@
   /** Requests a second that the target may get from this daemon after a back-off; undefined where none limits it. */
   readRampRate(now: number): number | undefined {
     if (this.#backoffUntil === -Infinity) return undefined;
-    return computeRampRate(RISE, Math.max(0, now - this.#backoffUntil));
+    return computeRampRate(BACKOFF_RAMP, Math.max(0, now - this.#backoffUntil));
   }
 
   /** Notes that the target drains; returns whether that is news. */
   recordDraining(notice: DrainingNotice): boolean {
-    const isNews = this.#draining === undefined;
-    if (isNews || (notice.isDirect && !this.#draining?.isDirect)) this.#draining = notice;
-    return isNews;
+    const isNew = this.#draining === undefined;
+    if (isNew || (notice.isDirect && !this.#draining?.isDirect)) this.#draining = notice;
+    return isNew;
   }
 
   /**
@@ -63,9 +63,9 @@
    * @param time in milliseconds from now on
    */
   recordBackoff(time: number, now: number): boolean {
-    const until = now + Math.min(time, LONGEST_BACKOFF);
-    const isNews = time > 0 && until > this.#backoffUntil;
-    if (isNews) this.#backoffUntil = until;
-    return isNews;
+    const until = now + Math.min(time, MAX_BACKOFF_MS);
+    const isExtended = time > 0 && until > this.#backoffUntil;
+    if (isExtended) this.#backoffUntil = until;
+    return isExtended;
   }
 }
--- a/src/balance/budget.ts
+++ b/src/balance/budget.ts
@@ -1,14 +1,14 @@
 /** Budgets that grow with the calls, so that extra work stays a fixed share of them. */
 
-const BURST = 10;
+const MAX_TOKENS = 10;
 
 /** Lets extra attempts through at a share of the first attempts. */
 export class ShareBudget {
-  #tokens = BURST / 2;
+  #tokens = MAX_TOKENS / 2;
 
   #spent = 0;
 
-  #earned = BURST / 2;
+  #earned = MAX_TOKENS / 2;
 
   /** @param percent extra attempts allowed for each hundred first attempts */
   constructor(private readonly percent: number) {}
@@ -22,7 +22,7 @@
   earn(): void {
     const amount = this.percent / 100;
     this.#earned += amount;
-    this.#tokens = Math.min(BURST, this.#tokens + amount);
+    this.#tokens = Math.min(MAX_TOKENS, this.#tokens + amount);
   }
 
   /** Takes one extra attempt if the budget allows it. */
--- a/src/balance/candidates.ts
+++ b/src/balance/candidates.ts
@@ -14,11 +14,11 @@
 export const MAX_CANDIDATES = 64;
 
 /** Targets drawn from where there are more: of the own failure domain, and of the others. */
-const NEAR_DRAWN = 40;
-const FAR_DRAWN = 24;
+const SAME_DOMAIN_SAMPLE = 40;
+const OTHER_DOMAINS_SAMPLE = 24;
 
 /** Takes up to `count` usable items that stand together from a random place on, going round. */
-function* pickFrom<T>(
+function* drawRange<T>(
   items: readonly T[],
   count: number,
   { random, isUsable }: DrawOptions<T>,
@@ -49,14 +49,14 @@
 
 /** Draws the targets that a call looks at; all of them where they are few. */
 export function drawCandidates<T>(
-  { sameDomain: near, otherDomains: far }: CandidatePool<T>,
-  terms: DrawOptions<T>,
+  { sameDomain, otherDomains }: CandidatePool<T>,
+  options: DrawOptions<T>,
 ): readonly T[] {
-  if (near.length + far.length <= MAX_CANDIDATES) {
-    return [...near, ...far].filter(terms.isUsable);
+  if (sameDomain.length + otherDomains.length <= MAX_CANDIDATES) {
+    return [...sameDomain, ...otherDomains].filter(options.isUsable);
   }
-  const nearCount = Math.max(NEAR_DRAWN, MAX_CANDIDATES - far.length);
-  const drawn = [...pickFrom(near, nearCount, terms)];
-  const farCount = Math.max(FAR_DRAWN, MAX_CANDIDATES - drawn.length);
-  return [...drawn, ...pickFrom(far, farCount, terms)];
+  const sameDomainCount = Math.max(SAME_DOMAIN_SAMPLE, MAX_CANDIDATES - otherDomains.length);
+  const drawn = [...drawRange(sameDomain, sameDomainCount, options)];
+  const otherDomainsCount = Math.max(OTHER_DOMAINS_SAMPLE, MAX_CANDIDATES - drawn.length);
+  return [...drawn, ...drawRange(otherDomains, otherDomainsCount, options)];
 }
--- a/src/balance/cold-limit.ts
+++ b/src/balance/cold-limit.ts
@@ -12,28 +12,29 @@
 }
 
 /** Times that somebody who has just turned to another daemon is counted. */
-const COUNTED_TWICE = 2;
+const MAX_TIMES_COUNTED = 2;
 
 /** What is sent within this time, in seconds, may arrive within one: opening a connection takes a quarter of one. */
-const ARRIVAL_SPREAD = 1.25;
+const ARRIVAL_SPREAD_SECONDS = 1.25;
 
 /** The part of the most requests in a second that homes may have saved up. */
-const SAVED_PART = 0.25;
+const MAX_SAVED_SHARE = 0.25;
 
 /** Computes the rate that all daemons share at a cold target; undefined where nothing limits it. */
 export function computeColdRate({ rate, overshoot, slack }: ColdLimits): SharedRate | undefined {
   if (rate === Infinity) return undefined;
-  const most = rate * overshoot + slack;
-  const sharers = Math.min(MAX_SENDERS, Math.max(1, Math.floor(most * SAVED_PART)));
-  const safe = Math.max(0, most - sharers) / (COUNTED_TWICE * ARRIVAL_SPREAD);
-  return { rate: Math.min(rate, safe), maxSenders: sharers };
+  const maxRequests = rate * overshoot + slack;
+  const maxSenders = Math.min(MAX_SENDERS, Math.max(1, Math.floor(maxRequests * MAX_SAVED_SHARE)));
+  const safeRate =
+    Math.max(0, maxRequests - maxSenders) / (MAX_TIMES_COUNTED * ARRIVAL_SPREAD_SECONDS);
+  return { rate: Math.min(rate, safeRate), maxSenders };
 }
 
 /** Calls count as sent of late for this long, in milliseconds. */
-const RECENT = 1250;
+const RECENT_MS = 1250;
 
 /** Calls remembered. */
-const MOST_REMEMBERED = 64;
+const MAX_REMEMBERED_CALLS = 64;
 
 /** Counts the calls sent to one target of late. */
 export class SendCounter {
@@ -41,14 +42,14 @@
 
   /** Counts a call that is sent. */
   record(now: number): void {
-    const recent = this.#sentAt.filter((at) => now - at < RECENT);
-    this.#sentAt = [...recent, now].slice(-MOST_REMEMBERED);
+    const recent = this.#sentAt.filter((at) => now - at < RECENT_MS);
+    this.#sentAt = [...recent, now].slice(-MAX_REMEMBERED_CALLS);
   }
 
   /** Calls sent of late. */
   count(now: number): number {
     let count = 0;
-    for (const at of this.#sentAt) if (now - at < RECENT) count += 1;
+    for (const at of this.#sentAt) if (now - at < RECENT_MS) count += 1;
     return count;
   }
 }
@@ -57,11 +58,11 @@
 export class WarmUpState {
   #coldUntil = -Infinity;
 
-  #heardAt = -Infinity;
+  #reportedAt = -Infinity;
 
   /** When the target itself last said how warm it is. */
   get reportedAt(): number {
-    return this.#heardAt;
+    return this.#reportedAt;
   }
 
   /** Whether it is to be taken for cold. */
@@ -76,8 +77,8 @@
 
   /** Takes the target's own word of a moment; a later one replaces it. @param left for how long it is still cold */
   observe(left: number, at: number): boolean {
-    if (at <= this.#heardAt) return false;
-    this.#heardAt = at;
+    if (at <= this.#reportedAt) return false;
+    this.#reportedAt = at;
     this.#coldUntil = left > 0 ? at + left : -Infinity;
     return true;
   }
--- a/src/balance/estimate.ts
+++ b/src/balance/estimate.ts
@@ -4,7 +4,7 @@
 export class DecayingMean {
   #value: number | undefined;
 
-  #at = 0;
+  #updatedAt = 0;
 
   /** @param halfLife time after which an old sample counts half, in milliseconds */
   constructor(private readonly halfLife: number) {}
@@ -14,10 +14,13 @@
     if (this.#value === undefined) {
       this.#value = sample;
     } else {
-      const keep = Math.max(MIN_STEP, 1 - 0.5 ** ((now - this.#at) / this.halfLife));
+      const keep = Math.max(
+        MIN_SAMPLE_WEIGHT,
+        1 - 0.5 ** ((now - this.#updatedAt) / this.halfLife),
+      );
       this.#value += (sample - this.#value) * keep;
     }
-    this.#at = now;
+    this.#updatedAt = now;
   }
 
   /** Returns the mean, or `fallback` before the first sample. */
@@ -26,7 +29,7 @@
   }
 }
 
-const MIN_STEP = 0.05;
+const MIN_SAMPLE_WEIGHT = 0.05;
 
 /** Follows one quantile of a stream by small steps up and down, with constant memory. */
 export class QuantileEstimate {
@@ -41,7 +44,7 @@
       this.#value = sample;
       return;
     }
-    const step = Math.max(this.#value, 1) * STEP;
+    const step = Math.max(this.#value, 1) * RELATIVE_STEP;
     if (sample > this.#value) this.#value += step * this.quantile;
     else this.#value = Math.max(0, this.#value - step * (1 - this.quantile));
   }
@@ -52,7 +55,7 @@
   }
 }
 
-const STEP = 0.05;
+const RELATIVE_STEP = 0.05;
 
 /** Counts events and gives their rate over the recent past. */
 export class RateMeter {
@@ -60,31 +63,31 @@
 
   #rate = 0;
 
-  #since: number;
+  #windowStart: number;
 
   constructor(now: number) {
-    this.#since = now;
+    this.#windowStart = now;
   }
 
   /** Adds `amount` events at time `now`. */
   add(now: number, amount = 1): void {
-    this.#roll(now);
+    this.#rollWindow(now);
     this.#count += amount;
   }
 
   /** Returns events a second. */
   read(now: number): number {
-    this.#roll(now);
+    this.#rollWindow(now);
     return this.#rate;
   }
 
-  #roll(now: number): void {
-    const span = now - this.#since;
-    if (span < RATE_WINDOW) return;
+  #rollWindow(now: number): void {
+    const span = now - this.#windowStart;
+    if (span < RATE_WINDOW_MS) return;
     this.#rate = (this.#count * 1000) / span;
     this.#count = 0;
-    this.#since = now;
+    this.#windowStart = now;
   }
 }
 
-const RATE_WINDOW = 1000;
+const RATE_WINDOW_MS = 1000;
--- a/src/balance/expected-time.ts
+++ b/src/balance/expected-time.ts
@@ -27,36 +27,36 @@
  */
 const FAILURE_WEIGHT = 3;
 
-const DOUBT = 3;
+const SUSPECT_FACTOR = 3;
 
 /** Weight of the way to another failure domain: bytes between domains are paid for. */
-const FAR = 1.12;
+const OTHER_DOMAIN_FACTOR = 1.12;
 
 /** A body of this many bytes makes a far target as dear as one that takes twice as long. */
-const FAR_BYTES = 60_000;
+const OTHER_DOMAIN_DOUBLING_BYTES = 60_000;
 
 /** Costs this close are alike; without noise all daemons would choose the same target. */
 const NOISE = 0.06;
 
 /** Estimates the time of one more call, as a multiple of a call's time at an idle, usual target. */
-export function estimateTime(prospect: CandidateLoad): number {
-  const { slots, calls, slowdown, coldFactor: cold, failureRatio: failures } = prospect;
-  const crowd = Math.min(1, calls / slots);
-  const waits = Math.max(0, calls - slots + 1) / slots;
+export function estimateTime(load: CandidateLoad): number {
+  const { slots, calls, slowdown, coldFactor, failureRatio } = load;
+  const busy = Math.min(1, calls / slots);
+  const queueing = Math.max(0, calls - slots + 1) / slots;
   // For each success there are as many tries more as there were failures.
-  return slowdown * cold * (1 + CROWDING * crowd * crowd + waits) * (1 + failures);
+  return slowdown * coldFactor * (1 + CROWDING * busy * busy + queueing) * (1 + failureRatio);
 }
 
 /** What going to a target costs against waiting for another one: the time, and what counts besides. */
-function measureDelay(prospect: CandidateLoad): number {
-  const doubt = prospect.isSuspect ? DOUBT : 1;
-  return estimateTime(prospect) * doubt * (prospect.isOtherDomain ? FAR : 1);
+function computeDelayCost(load: CandidateLoad): number {
+  const suspectFactor = load.isSuspect ? SUSPECT_FACTOR : 1;
+  return estimateTime(load) * suspectFactor * (load.isOtherDomain ? OTHER_DOMAIN_FACTOR : 1);
 }
 
 /** The cost of a target against others that are free. */
-export function computeCost(prospect: CandidateLoad): number {
-  const { failureRatio: failures } = prospect;
-  return (measureDelay(prospect) * (1 + FAILURE_WEIGHT * failures)) / (1 + failures);
+export function computeCost(load: CandidateLoad): number {
+  const { failureRatio } = load;
+  return (computeDelayCost(load) * (1 + FAILURE_WEIGHT * failureRatio)) / (1 + failureRatio);
 }
 
 /** What is best for a call that asks for a target. */
@@ -92,8 +92,8 @@
 }
 
 /** What an idle slot of the target would cost a call that waits for it. */
-function measureIdleDelay(prospect: CandidateLoad): number {
-  return measureDelay({ ...prospect, calls: 0 });
+function computeIdleCost(load: CandidateLoad): number {
+  return computeDelayCost({ ...load, calls: 0 });
 }
 
 /**
@@ -111,43 +111,40 @@
  */
 export function chooseTarget<T>(
   candidates: readonly T[],
-  view: (candidate: T) => CandidateLoad,
-  {
-    callsAhead: ahead,
-    callRatio: sharers,
-    targetsPerCandidate: standsFor,
-    random,
-    bodyBytes,
-  }: ChoiceTerms,
+  readLoad: (candidate: T) => CandidateLoad,
+  { callsAhead, callRatio, targetsPerCandidate, random, bodyBytes }: ChoiceTerms,
 ): TargetChoice<T> {
   let best: { readonly candidate: T; readonly load: CandidateLoad } | undefined;
   let bestCost = Infinity;
   let bestTime = Infinity;
-  let bestFull = Infinity;
+  let bestBusyCost = Infinity;
   let slots = 0;
   let slotsPerTime = 0;
-  let fullPerTime = 0;
+  let busySlotsPerTime = 0;
   for (const candidate of candidates) {
-    const prospect = view(candidate);
-    slots += prospect.slots;
-    slotsPerTime += prospect.slots / (prospect.slowdown * prospect.coldFactor);
-    if (prospect.calls >= prospect.slots) {
-      bestFull = Math.min(bestFull, measureIdleDelay(prospect));
-      fullPerTime += prospect.slots / (prospect.slowdown * prospect.coldFactor);
+    const load = readLoad(candidate);
+    slots += load.slots;
+    slotsPerTime += load.slots / (load.slowdown * load.coldFactor);
+    if (load.calls >= load.slots) {
+      bestBusyCost = Math.min(bestBusyCost, computeIdleCost(load));
+      busySlotsPerTime += load.slots / (load.slowdown * load.coldFactor);
       continue;
     }
     const noise = 1 + NOISE * random.next();
     const cost =
-      computeCost(prospect) * noise * (prospect.isOtherDomain ? 1 + bodyBytes / FAR_BYTES : 1);
+      computeCost(load) *
+      noise *
+      (load.isOtherDomain ? 1 + bodyBytes / OTHER_DOMAIN_DOUBLING_BYTES : 1);
     if (cost >= bestCost) continue;
-    best = { candidate, load: prospect };
+    best = { candidate, load };
     bestCost = cost;
-    bestTime = measureDelay(prospect) * noise;
+    bestTime = computeDelayCost(load) * noise;
   }
   if (slotsPerTime === 0) return { kind: 'none' };
-  const pace = Math.max(1, sharers) / (slotsPerTime * standsFor);
+  const pace = Math.max(1, callRatio) / (slotsPerTime * targetsPerCandidate);
   // Whoever waits while some are free waits for those that are full.
-  const wait = ((ahead + 1) * Math.max(1, sharers)) / (fullPerTime * standsFor);
-  if (best !== undefined && bestTime <= wait + bestFull) return { kind: 'now', ...best };
+  const wait =
+    ((callsAhead + 1) * Math.max(1, callRatio)) / (busySlotsPerTime * targetsPerCandidate);
+  if (best !== undefined && bestTime <= wait + bestBusyCost) return { kind: 'now', ...best };
   return { kind: 'wait', pace, slowdown: slots / slotsPerTime };
 }
--- a/src/balance/failure-rate.ts
+++ b/src/balance/failure-rate.ts
@@ -8,10 +8,10 @@
  */
 
 /** What came of a call counts half after this time, in milliseconds: some calls of one daemon at one of hundreds. */
-const HALF_LIFE = 6000;
+const HALF_LIFE_MS = 6000;
 
 /** Successes that a target is taken to have had: nothing is known of the first call. */
-const PRIOR = 1;
+const PRIOR_SUCCESSES = 1;
 
 /** The record of one target. */
 export class FailureRate {
@@ -19,30 +19,30 @@
 
   #successes = 0;
 
-  #at = 0;
+  #decayedAt = 0;
 
   /** Notes a call that failed. */
   recordFailure(now: number): void {
-    this.#fade(now);
+    this.#decay(now);
     this.#failures += 1;
   }
 
   /** Notes a call that was answered well. */
   recordSuccess(now: number): void {
-    this.#fade(now);
+    this.#decay(now);
     this.#successes += 1;
   }
 
   /** Failures for each success: 0 where there are none, 1 after the first call if it failed. */
   read(now: number): number {
-    this.#fade(now);
-    return this.#failures / (this.#successes + PRIOR);
+    this.#decay(now);
+    return this.#failures / (this.#successes + PRIOR_SUCCESSES);
   }
 
-  #fade(now: number): void {
-    const kept = 0.5 ** ((now - this.#at) / HALF_LIFE);
+  #decay(now: number): void {
+    const kept = 0.5 ** ((now - this.#decayedAt) / HALF_LIFE_MS);
     this.#failures *= kept;
     this.#successes *= kept;
-    this.#at = now;
+    this.#decayedAt = now;
   }
 }
--- a/src/balance/home.ts
+++ b/src/balance/home.ts
@@ -23,23 +23,23 @@
   return slash < 0 ? domain : domain.slice(0, slash);
 }
 
-const MAX_KNOWN_PAIRS = 20_000;
+const MAX_CACHED_PAIRS = 20_000;
 
-const knownPairs = new Map<string, number>();
+const pairHashes = new Map<string, number>();
 
 /** Returns a number that is random for each pair but the same wherever it is computed. */
-export function hashPair(a: string, b: string): number {
-  return createHash('md5').update(a).update('\0').update(b).digest().readUIntBE(0, 6);
+export function hashPair(first: string, second: string): number {
+  return createHash('md5').update(first).update('\0').update(second).digest().readUIntBE(0, 6);
 }
 
 /** The same, remembered: every service is ranked again whenever a member or VM changes. */
-export function getPairHash(a: string, b: string): number {
-  const pair = `${a}\0${b}`;
-  const known = knownPairs.get(pair);
-  if (known !== undefined) return known;
-  if (knownPairs.size >= MAX_KNOWN_PAIRS) knownPairs.clear();
-  const hash = hashPair(a, b);
-  knownPairs.set(pair, hash);
+export function getPairHash(first: string, second: string): number {
+  const pair = `${first}\0${second}`;
+  const cached = pairHashes.get(pair);
+  if (cached !== undefined) return cached;
+  if (pairHashes.size >= MAX_CACHED_PAIRS) pairHashes.clear();
+  const hash = hashPair(first, second);
+  pairHashes.set(pair, hash);
   return hash;
 }
 
@@ -63,8 +63,8 @@
     rounds.set(candidate, round);
     used.set(candidate.domain, round + 1);
   }
-  const roundOf = (candidate: T) => rounds.get(candidate) ?? 0;
-  return [...ranked].sort((a, b) => roundOf(a) - roundOf(b));
+  const getRound = (candidate: T) => rounds.get(candidate) ?? 0;
+  return [...ranked].sort((a, b) => getRound(a) - getRound(b));
 }
 
 /** What the number of homes follows from. */
@@ -79,9 +79,13 @@
 }
 
 /** Returns how many homes a service has in a region. */
-export function countHomes(need: HomeRequirements): number {
-  if (need.homes > 0) return need.homes;
-  return Math.max(1, need.needed, Math.ceil(need.expected_rate / ENTRY_CALLS_PER_SECOND));
+export function countHomes(requirements: HomeRequirements): number {
+  if (requirements.homes > 0) return requirements.homes;
+  return Math.max(
+    1,
+    requirements.needed,
+    Math.ceil(requirements.expected_rate / ENTRY_CALLS_PER_SECOND),
+  );
 }
 
 /** A service's homes in one region, and the alternates in order. */
@@ -92,11 +96,11 @@
 
 /** Plans the homes of a service among the live entries of one region. */
 export function planHomes<T extends HomeCandidate>(
-  need: HomeRequirements,
+  requirements: HomeRequirements,
   candidates: readonly T[],
 ): HomePlan<T> {
-  const ordered = spreadDomains(rankCandidates(need.name, candidates));
-  const count = countHomes(need);
+  const ordered = spreadDomains(rankCandidates(requirements.name, candidates));
+  const count = countHomes(requirements);
   return { homes: ordered.slice(0, count), alternates: ordered.slice(count) };
 }
 
@@ -108,14 +112,14 @@
 ): ReadonlySet<string> {
   if (homes.length <= 1) return new Set(targets);
   const share = Math.ceil(targets.length / homes.length);
-  const given = new Map<string, number>();
-  const mine = new Set<string>();
+  const assignedCounts = new Map<string, number>();
+  const own = new Set<string>();
   for (const target of [...targets].sort()) {
     const ranked = rankCandidates(target, homes);
-    const owner = ranked.find((home) => (given.get(home.id) ?? 0) < share);
+    const owner = ranked.find((home) => (assignedCounts.get(home.id) ?? 0) < share);
     if (owner === undefined) break;
-    given.set(owner.id, (given.get(owner.id) ?? 0) + 1);
-    if (owner.id === self) mine.add(target);
+    assignedCounts.set(owner.id, (assignedCounts.get(owner.id) ?? 0) + 1);
+    if (owner.id === self) own.add(target);
   }
-  return mine;
+  return own;
 }
--- a/src/balance/knee.ts
+++ b/src/balance/knee.ts
@@ -7,29 +7,29 @@
 import { DecayingMean } from './estimate.js';
 
 /** From this share of the slots on a target counts as nearly full. */
-const NEARLY_FULL = 0.8;
+const NEARLY_FULL_SHARE = 0.8;
 
 /** Both means follow some seconds of calls. */
-const HALF_LIFE = 10_000;
+const HALF_LIFE_MS = 10_000;
 
 /** Samples of each kind that are needed before the limit is lowered. */
-const LEAST_SAMPLES = 30;
+const MIN_SAMPLES = 30;
 
 /** Calls of both kinds are partly full and partly not in between, so the factor seen is too small. */
 const DILUTION = 0.6;
 
 /** The comparison for one service. */
 export class KneeEstimate {
-  readonly #full = new DecayingMean(HALF_LIFE);
+  readonly #fullTime = new DecayingMean(HALF_LIFE_MS);
 
-  readonly #easy = new DecayingMean(HALF_LIFE);
+  readonly #lightTime = new DecayingMean(HALF_LIFE_MS);
 
   /** What is taken until enough has been seen here. */
-  #first = 1;
+  #prior = 1;
 
   #fullSamples = 0;
 
-  #easySamples = 0;
+  #lightSamples = 0;
 
   /**
    * Learns from one call, and returns how many times longer it took for the calls beside it.
@@ -39,14 +39,14 @@
    */
   observe(time: number, [atStart, atEnd]: readonly [number, number], now: number): number {
     // A call that met both says nothing of either.
-    if (Math.min(atStart, atEnd) >= NEARLY_FULL) {
-      this.#full.add(time, now);
+    if (Math.min(atStart, atEnd) >= NEARLY_FULL_SHARE) {
+      this.#fullTime.add(time, now);
       this.#fullSamples += 1;
       return this.readFactor();
     }
-    if (Math.max(atStart, atEnd) < NEARLY_FULL) {
-      this.#easy.add(time, now);
-      this.#easySamples += 1;
+    if (Math.max(atStart, atEnd) < NEARLY_FULL_SHARE) {
+      this.#lightTime.add(time, now);
+      this.#lightSamples += 1;
       return 1;
     }
     return Math.sqrt(this.readFactor());
@@ -54,20 +54,20 @@
 
   /** Takes what others have learnt, until enough has been seen here. */
   setPrior(factor: number): void {
-    this.#first = factor;
+    this.#prior = factor;
   }
 
   /** How many times longer a call takes at a nearly full target. */
   readFactor(): number {
-    const isTaught = this.#fullSamples >= LEAST_SAMPLES && this.#easySamples >= LEAST_SAMPLES;
-    if (!isTaught) return this.#first;
-    return Math.max(1, this.#full.read(1) / this.#easy.read(1));
+    const hasEnoughSamples = this.#fullSamples >= MIN_SAMPLES && this.#lightSamples >= MIN_SAMPLES;
+    if (!hasEnoughSamples) return this.#prior;
+    return Math.max(1, this.#fullTime.read(1) / this.#lightTime.read(1));
   }
 
   /** The number of calls at which a target with these slots does the most work. */
   findConcurrencyLimit(slots: number): number {
-    const below = Math.max(1, Math.ceil(slots * NEARLY_FULL) - 1);
-    const worth = 1 + (slots / below - 1) * DILUTION;
-    return this.readFactor() > worth ? below : slots;
+    const reducedLimit = Math.max(1, Math.ceil(slots * NEARLY_FULL_SHARE) - 1);
+    const maxFactor = 1 + (slots / reducedLimit - 1) * DILUTION;
+    return this.readFactor() > maxFactor ? reducedLimit : slots;
   }
 }
--- a/src/balance/lateness.ts
+++ b/src/balance/lateness.ts
@@ -23,11 +23,11 @@
   /** Its one target took too long. */
   | 'slow-target';
 
-/** Judges why an answer is late. @param usual how long a call takes from its sending, as expected */
-export function findLatenessCause(times: RequestTimings, usual: number): LatenessCause {
-  const { aimLeft, waited, held, attempts: sendings } = times;
+/** Judges why an answer is late. @param usualTime how long a call takes from its sending, as expected */
+export function findLatenessCause(timings: RequestTimings, usualTime: number): LatenessCause {
+  const { aimLeft, waited, held, attempts } = timings;
   if (held <= aimLeft) return 'in-time';
-  if (aimLeft < usual) return 'came-late';
-  if (waited + usual > aimLeft) return 'waited';
-  return sendings > 1 ? 'second-attempt' : 'slow-target';
+  if (aimLeft < usualTime) return 'came-late';
+  if (waited + usualTime > aimLeft) return 'waited';
+  return attempts > 1 ? 'second-attempt' : 'slow-target';
 }
--- a/src/balance/limit.ts
+++ b/src/balance/limit.ts
@@ -15,11 +15,11 @@
   return { read: () => slots, recordAnswer: () => undefined, recordShed: () => undefined };
 }
 
-const FIRST_LIMIT = 4;
-const SLOWER = 1.5;
-const BACK_OFF = 0.8;
-const SHED_BACK_OFF = 0.7;
-const BASE_DRIFT = 0.002;
+const INITIAL_LIMIT = 4;
+const SLOW_FACTOR = 1.5;
+const LATENCY_DECREASE = 0.8;
+const SHED_DECREASE = 0.7;
+const BASELINE_DRIFT = 0.002;
 
 /**
  * Creates the limit of a target whose slots are not known (additive increase, multiplicative decrease).
@@ -28,23 +28,23 @@
  * shrinks when latency rises above that or when the target sheds.
  */
 export function createAdaptiveLimit(max: number): ConcurrencyLimit {
-  let limit = Math.min(FIRST_LIMIT, max);
-  let base = Infinity;
+  let limit = Math.min(INITIAL_LIMIT, max);
+  let baseline = Infinity;
   let recent = 0;
   const clamp = (value: number) => Math.min(max, Math.max(1, value));
   return {
     read: () => Math.floor(limit),
     recordAnswer(latency, full) {
-      base = Math.min(latency, base + base * BASE_DRIFT);
+      baseline = Math.min(latency, baseline + baseline * BASELINE_DRIFT);
       recent = recent === 0 ? latency : recent + (latency - recent) / limit;
-      if (recent > base * SLOWER + 1) {
-        limit = clamp(limit - (1 - BACK_OFF));
+      if (recent > baseline * SLOW_FACTOR + 1) {
+        limit = clamp(limit - (1 - LATENCY_DECREASE));
         return;
       }
       if (full) limit = clamp(limit + 1 / limit);
     },
     recordShed() {
-      limit = clamp(limit * SHED_BACK_OFF);
+      limit = clamp(limit * SHED_DECREASE);
     },
   };
 }
--- a/src/balance/load-estimate.ts
+++ b/src/balance/load-estimate.ts
@@ -16,38 +16,38 @@
 }
 
 /** A report older than this says nothing of how many calls are there now. */
-const COUNT_LIFE = 1000;
+const MAX_REPORT_AGE_MS = 1000;
 
 /** What another home told of its own calls counts for this long; it tells again sooner than that. */
-const SHARE_LIFE = 1200;
+const MAX_HOME_COUNT_AGE_MS = 1200;
 
 /** A report counts calls that end or arrive while it travels, so it may be off by this many. */
-const REPORT_ERROR = 1;
+const REPORT_ERROR_CALLS = 1;
 
 /** A call that was sent this shortly before a report came is not counted in it yet. */
-const ON_ITS_WAY = 4;
+const TRANSIT_MS = 4;
 
 /** The belief about one target. */
 export class LoadEstimate {
-  #word: TargetLoad | undefined;
+  #report: TargetLoad | undefined;
 
-  #at = -Infinity;
+  #reportedAt = -Infinity;
 
   #slowdown = 1;
 
   #slowdownAt = -Infinity;
 
   /** Calls in the report that are not this daemon's; below 0 when some of its own are not there. */
-  #others = 0;
+  #otherCalls = 0;
 
   /** Calls in the report that neither this daemon nor any other home told of. */
-  #unexplained = 0;
+  #unaccounted = 0;
 
   #inFlight = 0;
 
   #starts: readonly number[] = [];
 
-  readonly #shares = new Map<string, { readonly inFlight: number; readonly at: number }>();
+  readonly #homeCounts = new Map<string, { readonly inFlight: number; readonly at: number }>();
 
   /** Calls that this daemon has in flight at the target. */
   get inFlight(): number {
@@ -56,7 +56,7 @@
 
   /** When the last report came. */
   get reportedAt(): number {
-    return this.#at;
+    return this.#reportedAt;
   }
 
   /** The last slowdown heard of, whatever its age. */
@@ -71,13 +71,13 @@
 
   /** The last report. */
   get lastReport(): TargetLoad | undefined {
-    return this.#word;
+    return this.#report;
   }
 
   /** Counts a call that starts. */
   start(now: number): void {
     this.#inFlight += 1;
-    this.#starts = [...this.#starts.filter((at) => now - at < ON_ITS_WAY), now];
+    this.#starts = [...this.#starts.filter((at) => now - at < TRANSIT_MS), now];
   }
 
   /** Counts a call that ended. */
@@ -87,16 +87,16 @@
 
   /** This daemon's calls that a report may count which arrives now. */
   countArrived(now: number): number {
-    let onTheirWay = 0;
+    let inTransit = 0;
     for (const at of this.#starts) {
-      if (now - at < ON_ITS_WAY) onTheirWay += 1;
+      if (now - at < TRANSIT_MS) inTransit += 1;
     }
-    return Math.max(0, this.#inFlight - onTheirWay);
+    return Math.max(0, this.#inFlight - inTransit);
   }
 
   /** Takes another home's count of its own calls at the target. */
   observeHomeCalls(home: string, inFlight: number, now: number): void {
-    this.#shares.set(home, { inFlight, at: now });
+    this.#homeCounts.set(home, { inFlight, at: now });
   }
 
   /**
@@ -111,14 +111,14 @@
     return true;
   }
 
-  /** Takes a report. @param own this daemon's calls that it may count */
-  observeReport(word: TargetLoad, own: number, now: number): void {
-    this.#word = word;
-    this.#at = now;
-    this.observeSlowdown(word.slowdown, now);
-    this.#others = word.running + word.waiting - own;
-    const { others } = this.#countTold(now);
-    this.#unexplained = Math.max(0, this.#others - others - REPORT_ERROR);
+  /** Takes a report. @param ownCalls this daemon's calls that it may count */
+  observeReport(report: TargetLoad, ownCalls: number, now: number): void {
+    this.#report = report;
+    this.#reportedAt = now;
+    this.observeSlowdown(report.slowdown, now);
+    this.#otherCalls = report.running + report.waiting - ownCalls;
+    const { homeCalls } = this.#sumHomeCounts(now);
+    this.#unaccounted = Math.max(0, this.#otherCalls - homeCalls - REPORT_ERROR_CALLS);
   }
 
   /**
@@ -127,27 +127,28 @@
    * The homes tell each other their own calls, which is nearly exact. A report adds what nobody told
    * of. Without either, each of the homes is taken to have as many there as this one.
    *
-   * @param tellers homes that told of their calls of late, be it that they have none here
+   * @param reportingHomes homes that told of their calls of late, be it that they have none here
    */
-  countCalls(now: number, homes: number, tellers = 0): number {
-    const { told: named, others } = this.#countTold(now);
-    const told = Math.max(named, tellers);
-    const isReported = now - this.#at < COUNT_LIFE;
-    if (told >= homes - 1) return this.#inFlight + others + (isReported ? this.#unexplained : 0);
+  countCalls(now: number, homes: number, reportingHomes = 0): number {
+    const { homes: countedHomes, homeCalls } = this.#sumHomeCounts(now);
+    const knownHomes = Math.max(countedHomes, reportingHomes);
+    const isReported = now - this.#reportedAt < MAX_REPORT_AGE_MS;
+    if (knownHomes >= homes - 1)
+      return this.#inFlight + homeCalls + (isReported ? this.#unaccounted : 0);
     return isReported
-      ? Math.max(0, this.#inFlight + this.#others)
+      ? Math.max(0, this.#inFlight + this.#otherCalls)
       : this.#inFlight * Math.max(1, homes);
   }
 
   /** Counts the homes that told of their calls of late, and those calls. */
-  #countTold(now: number): { readonly told: number; readonly others: number } {
-    let told = 0;
-    let others = 0;
-    for (const { inFlight, at } of this.#shares.values()) {
-      if (now - at >= SHARE_LIFE) continue;
-      told += 1;
-      others += inFlight;
+  #sumHomeCounts(now: number): { readonly homes: number; readonly homeCalls: number } {
+    let homes = 0;
+    let homeCalls = 0;
+    for (const { inFlight, at } of this.#homeCounts.values()) {
+      if (now - at >= MAX_HOME_COUNT_AGE_MS) continue;
+      homes += 1;
+      homeCalls += inFlight;
     }
-    return { told, others };
+    return { homes, homeCalls };
   }
 }
--- a/src/balance/poison.ts
+++ b/src/balance/poison.ts
@@ -55,7 +55,7 @@
 }
 
 /** Ends of targets after which a request is held out; one more while targets also end by themselves. */
-const ENDS = 2;
+const MIN_ENDS = 2;
 
 /**
  * How long a request is held out after the last end, in milliseconds, before it is tried once more: the first time
@@ -63,43 +63,43 @@
  * targets that were mended without a new release. After that only a new release, or forgetting it, sets it free: each
  * trial of a guilty one costs a target and what else runs there.
  */
-const HOLDS = [15_000, 300_000];
+const HOLD_TIMES_MS = [15_000, 300_000];
 
 /** A request is forgotten this long after it last lost a target: a day, in which releases are made. */
-const CASE_LIFE = 86_400_000;
+const CASE_LIFETIME_MS = 86_400_000;
 
 /** That a request was answered is remembered for this long, for words of before that are still on their way. */
-const CLEARED_LIFE = 60_000;
+const CLEARED_LIFETIME_MS = 60_000;
 
 /** Requests remembered: about a megabyte. Those that lost one target go first. */
-const MOST_CASES = 4096;
+const MAX_CASES = 4096;
 
 /** Cases looked at, the oldest first, whether they are over, at each that comes; all of them take 40 us. */
-const MOST_TRIMMED = 8;
+const MAX_TRIMMED = 8;
 
 /** Ends of targets count as chance for this long, in milliseconds: some calls' time. */
-const CHANCE_WINDOW = 10_000;
+const CHANCE_WINDOW_MS = 10_000;
 
 /** A caller whose copy of the same request is being run may return after this long. */
-const COPY_WAIT = 250;
+const COPY_WAIT_MS = 250;
 
 /** The longest time after which a caller is told to come back: it may be one whose request is good again by then. */
-const LONGEST_WAIT = 60_000;
+const MAX_WAIT_MS = 60_000;
 
 /** More releases or ended targets of one request say nothing more. */
-const MOST_NAMED = 8;
+const MAX_NAMED = 8;
 
 /** Characters of a digest, 6 bits each. A request's name is that of its head and that of its body. */
 export const HEAD_DIGEST_LENGTH = 16;
 
-interface ChanceEnd {
+interface RecentEnd {
   readonly at: number;
   /** Whether a request that is held out, or about to be, explains it. */
   isExplained: boolean;
 }
 
-function joinNamed<T>(known: readonly T[], more: readonly T[]): readonly T[] {
-  return [...new Set([...known, ...more])].slice(-MOST_NAMED);
+function mergeNamed<T>(known: readonly T[], added: readonly T[]): readonly T[] {
+  return [...new Set([...known, ...added])].slice(-MAX_NAMED);
 }
 
 /** What a word of another daemon was worth: `outdated` says that the other does not know what is known here. */
@@ -114,8 +114,8 @@
 function mergeCases(a: PoisonCase, b: PoisonCase): PoisonCase {
   return {
     request: a.request,
-    ended: joinNamed(a.ended, b.ended),
-    releases: joinNamed(a.releases, b.releases),
+    ended: mergeNamed(a.ended, b.ended),
+    releases: mergeNamed(a.releases, b.releases),
     changedAt: Math.max(a.changedAt, b.changedAt),
   };
 }
@@ -125,13 +125,13 @@
   readonly #cases = new Map<string, PoisonCase>();
 
   /** How many cases begin with each head, so that only requests with a known one are told apart by their bodies. */
-  readonly #heads = new Map<string, number>();
+  readonly #caseCountByHead = new Map<string, number>();
 
   /** Suspects that run from here. */
   readonly #running = new Set<string>();
 
   /** Targets that ended of late. */
-  readonly #ends = new Map<number, ChanceEnd>();
+  readonly #recentEnds = new Map<number, RecentEnd>();
 
   /** Whether nothing is known of any request, as on most days. */
   get isEmpty(): boolean {
@@ -140,7 +140,7 @@
 
   /** Whether a request with this head may be known. */
   mayKnowHead(head: string): boolean {
-    return this.#heads.has(head);
+    return this.#caseCountByHead.has(head);
   }
 
   /** Finds a request under which a target ended since it was last answered. */
@@ -155,18 +155,18 @@
   }
 
   /** Says what may be done with a request that is to be sent. */
-  judge(request: string, terms: PoisonContext): PoisonDecision {
+  judge(request: string, context: PoisonContext): PoisonDecision {
     const known = this.#cases.get(request);
     if (known === undefined || !isBlamed(known)) return { kind: 'clear' };
-    if (this.#running.has(request)) return { kind: 'held', wait: COPY_WAIT };
-    const { now, releases, mayRunTrials: isTrier } = terms;
-    const held = known.ended.length - this.#countEnough(terms);
-    if (held < 0) return { kind: 'suspect', avoidedReleases: [] };
-    const isMended = [...releases].some((release) => !known.releases.includes(release));
-    if (isMended && isTrier) return { kind: 'suspect', avoidedReleases: known.releases };
-    const left = known.changedAt + (HOLDS[held] ?? Infinity) - now;
-    if (left <= 0 && isTrier) return { kind: 'suspect', avoidedReleases: [] };
-    return { kind: 'held', wait: Math.min(LONGEST_WAIT, Math.max(COPY_WAIT, left)) };
+    if (this.#running.has(request)) return { kind: 'held', wait: COPY_WAIT_MS };
+    const { now, releases, mayRunTrials } = context;
+    const extraEnds = known.ended.length - this.#computeMinEnds(context);
+    if (extraEnds < 0) return { kind: 'suspect', avoidedReleases: [] };
+    const hasNewRelease = [...releases].some((release) => !known.releases.includes(release));
+    if (hasNewRelease && mayRunTrials) return { kind: 'suspect', avoidedReleases: known.releases };
+    const left = known.changedAt + (HOLD_TIMES_MS[extraEnds] ?? Infinity) - now;
+    if (left <= 0 && mayRunTrials) return { kind: 'suspect', avoidedReleases: [] };
+    return { kind: 'held', wait: Math.min(MAX_WAIT_MS, Math.max(COPY_WAIT_MS, left)) };
   }
 
   /** Notes that a suspect is sent; copies of it wait meanwhile. */
@@ -181,9 +181,9 @@
 
   /** Notes that a target ended while it ran a request. Returns what is known of the request now. */
   recordTargetEnd(request: string, { target, release }: TargetEnd, at: number): PoisonCase {
-    const seen = { request, ended: [target], releases: [release], changedAt: at };
-    this.receive(seen, at);
-    return this.#cases.get(request) ?? seen;
+    const observed = { request, ended: [target], releases: [release], changedAt: at };
+    this.receive(observed, at);
+    return this.#cases.get(request) ?? observed;
   }
 
   /** Notes that a target ran a request to its end. Returns the case if it was blamed before. */
@@ -196,33 +196,33 @@
   }
 
   /** Takes what another daemon knows; what is older than its opposite here says nothing. */
-  receive(word: PoisonCase, now: number): ReceivedCase {
-    const known = this.#cases.get(word.request);
-    if (!isBlamed(word)) {
+  receive(received: PoisonCase, now: number): ReceivedCase {
+    const known = this.#cases.get(received.request);
+    if (!isBlamed(received)) {
       if (known === undefined || !isBlamed(known)) return 'known';
-      if (word.changedAt <= known.changedAt) return 'known';
-      this.#put(word);
+      if (received.changedAt <= known.changedAt) return 'known';
+      this.#put(received);
       return 'news';
     }
     if (known !== undefined && !isBlamed(known)) {
-      if (word.changedAt <= known.changedAt) return 'outdated';
-      this.#take(word, now);
+      if (received.changedAt <= known.changedAt) return 'outdated';
+      this.#putBlamed(received, now);
       return 'news';
     }
-    const isNews = word.ended.some((target) => known?.ended.includes(target) !== true);
-    if (!isNews) return 'known';
-    this.#take(mergeCases(known ?? word, word), now);
+    const hasNewEnd = received.ended.some((target) => known?.ended.includes(target) !== true);
+    if (!hasNewEnd) return 'known';
+    this.#putBlamed(mergeCases(known ?? received, received), now);
     return 'news';
   }
 
   /** Lists the requests that are held out, those that lost a target last at the end. */
   listHeldOut(): readonly PoisonCase[] {
-    return [...this.#cases.values()].filter(({ ended }) => ended.length >= ENDS);
+    return [...this.#cases.values()].filter(({ ended }) => ended.length >= MIN_ENDS);
   }
 
   /** Lists what changed after a moment. */
-  listChangedSince(moment: number): readonly PoisonCase[] {
-    return [...this.#cases.values()].filter(({ changedAt }) => changedAt > moment);
+  listChangedSince(time: number): readonly PoisonCase[] {
+    return [...this.#cases.values()].filter(({ changedAt }) => changedAt > time);
   }
 
   /**
@@ -230,27 +230,27 @@
    * seconds at T targets, five requests at each and a quarter of a second at a target, that happens to e * e / 8T
    * of them. Where that may be one in ten seconds, three are asked for.
    */
-  #countEnough({ now, targets }: PoisonContext): number {
+  #computeMinEnds({ now, targets }: PoisonContext): number {
     let ends = 0;
-    for (const [target, { at, isExplained }] of this.#ends) {
-      if (now - at > CHANCE_WINDOW) this.#ends.delete(target);
+    for (const [target, { at, isExplained }] of this.#recentEnds) {
+      if (now - at > CHANCE_WINDOW_MS) this.#recentEnds.delete(target);
       else if (!isExplained) ends += 1;
     }
-    return ends * ends > targets ? ENDS + 1 : ENDS;
+    return ends * ends > targets ? MIN_ENDS + 1 : MIN_ENDS;
   }
 
-  #take(next: PoisonCase, now: number): void {
+  #putBlamed(next: PoisonCase, now: number): void {
     this.#put(next);
-    this.#noteEnds(next, now);
+    this.#recordEnds(next, now);
     this.#trim(now);
   }
 
-  #noteEnds({ ended, changedAt }: PoisonCase, now: number): void {
-    if (now - changedAt > CHANCE_WINDOW) return;
-    const isExplained = ended.length >= ENDS;
+  #recordEnds({ ended, changedAt }: PoisonCase, now: number): void {
+    if (now - changedAt > CHANCE_WINDOW_MS) return;
+    const isExplained = ended.length >= MIN_ENDS;
     for (const target of ended) {
-      const known = this.#ends.get(target);
-      if (known === undefined) this.#ends.set(target, { at: changedAt, isExplained });
+      const known = this.#recentEnds.get(target);
+      if (known === undefined) this.#recentEnds.set(target, { at: changedAt, isExplained });
       else if (isExplained) known.isExplained = true;
     }
   }
@@ -258,32 +258,32 @@
   /** Keeps cases in the order in which they last changed. */
   #put(next: PoisonCase): void {
     const { request } = next;
-    if (!this.#cases.delete(request)) this.#countHead(request, 1);
+    if (!this.#cases.delete(request)) this.#updateHeadCount(request, 1);
     this.#cases.set(request, next);
   }
 
-  #countHead(request: string, step: number): void {
+  #updateHeadCount(request: string, step: number): void {
     const head = request.slice(0, HEAD_DIGEST_LENGTH);
-    const count = (this.#heads.get(head) ?? 0) + step;
-    if (count > 0) this.#heads.set(head, count);
-    else this.#heads.delete(head);
+    const count = (this.#caseCountByHead.get(head) ?? 0) + step;
+    if (count > 0) this.#caseCountByHead.set(head, count);
+    else this.#caseCountByHead.delete(head);
   }
 
   #forget(request: string): void {
-    if (this.#cases.delete(request)) this.#countHead(request, -1);
+    if (this.#cases.delete(request)) this.#updateHeadCount(request, -1);
   }
 
   #trim(now: number): void {
-    let looked = 0;
+    let checked = 0;
     for (const known of this.#cases.values()) {
-      looked += 1;
-      if (looked > MOST_TRIMMED) break;
-      const life = isBlamed(known) ? CASE_LIFE : CLEARED_LIFE;
-      if (now - known.changedAt > life) this.#forget(known.request);
+      checked += 1;
+      if (checked > MAX_TRIMMED) break;
+      const lifetime = isBlamed(known) ? CASE_LIFETIME_MS : CLEARED_LIFETIME_MS;
+      if (now - known.changedAt > lifetime) this.#forget(known.request);
     }
-    if (this.#cases.size <= MOST_CASES) return;
+    if (this.#cases.size <= MAX_CASES) return;
     for (const { request, ended } of this.#cases.values()) {
-      if (ended.length >= ENDS) continue;
+      if (ended.length >= MIN_ENDS) continue;
       this.#forget(request);
       return;
     }
--- a/src/balance/pool.ts
+++ b/src/balance/pool.ts
@@ -53,7 +53,7 @@
   readonly random: Random;
 }
 
-interface Ticket extends SlotRequest {
+interface QueuedRequest extends SlotRequest {
   readonly since: number;
   readonly resolve: (result: SlotResult) => void;
   timer: Timer | undefined;
@@ -67,40 +67,40 @@
   readonly ready: number;
 }
 
-const SERVICE_HALF_LIFE = 2000;
-const FIRST_SERVICE_TIME = 20;
+const SERVICE_TIME_HALF_LIFE_MS = 2000;
+const INITIAL_SERVICE_TIME_MS = 20;
 const MAX_EJECTED_SHARE = 0.5;
 const HEDGE_QUANTILE = 0.95;
-const MIN_RETRY_AFTER = 50;
-const PUMP_PERIOD = 25;
+const MIN_RETRY_AFTER_MS = 50;
+const PUMP_INTERVAL_MS = 25;
 
-const SERVER_ERROR = 500;
+const SERVER_ERROR_STATUS = 500;
 
 function isFailure(end: AttemptEnd): boolean {
-  return end.kind === 'failed' || (end.kind === 'answered' && end.status >= SERVER_ERROR);
+  return end.kind === 'failed' || (end.kind === 'answered' && end.status >= SERVER_ERROR_STATUS);
 }
 
 /** A pool of targets with its queue. */
 export class Pool {
   #targets: readonly Target[] = [];
 
-  readonly #queue = new CallQueue<Ticket>();
+  readonly #queue = new CallQueue<QueuedRequest>();
 
-  readonly #held = new Map<string, number>();
+  readonly #callsByPolicy = new Map<string, number>();
 
-  readonly #choose: Chooser;
+  readonly #chooseTarget: Chooser;
 
-  readonly #serviceTime = new DecayingMean(SERVICE_HALF_LIFE);
+  readonly #serviceTime = new DecayingMean(SERVICE_TIME_HALF_LIFE_MS);
 
   readonly #hedgeDelay = new QuantileEstimate(HEDGE_QUANTILE);
 
-  readonly #bounded: boolean;
+  readonly #isBounded: boolean;
 
-  #pumping = false;
+  #isPumping = false;
 
   constructor(private readonly options: PoolOptions) {
-    this.#choose = createChooser(options.strategy, options.random);
-    this.#bounded = isBounded(options.strategy);
+    this.#chooseTarget = createChooser(options.strategy, options.random);
+    this.#isBounded = isBounded(options.strategy);
   }
 
   /** The targets in use. */
@@ -146,9 +146,9 @@
   /** Gives a slot at once, or nothing: for hedges, which never wait. */
   takeFreeSlot(request: SlotRequest): Slot | undefined {
     if (this.#queue.size > 0) return undefined;
-    const target = this.#findTarget(request);
+    const target = this.#findFreeTarget(request);
     if (target === undefined || request.tried.has(target)) return undefined;
-    return this.#open(request, target, this.options.clock.now());
+    return this.#openSlot(request, target, this.options.clock.now());
   }
 
   /** Gives a slot, now or after waiting, or refuses. */
@@ -156,60 +156,60 @@
     const now = this.options.clock.now();
     if (request.signal.aborted) return this.#refuse('cancelled');
     if (request.deadline <= now) return this.#refuse('deadline');
-    if (!this.#hasUsable()) return this.#refuse('no-target');
+    if (!this.#hasUsableTarget()) return this.#refuse('no-target');
     if (this.#queue.size === 0 && this.#allowsHold(request.hold)) {
-      const target = this.#findTarget(request);
-      if (target !== undefined) return this.#open(request, target, now);
+      const target = this.#findFreeTarget(request);
+      if (target !== undefined) return this.#openSlot(request, target, now);
     }
-    return this.#wait(request, now);
+    return this.#enqueue(request, now);
   }
 
   /** Gives free slots to waiting calls. */
   pump(): void {
     while (this.#queue.size > 0) {
-      const free = this.#targets.some((target) => this.#hasRoom(target));
-      if (!free) return;
-      const ticket = this.#queue.take((hold) => this.#allowsHold(hold));
-      if (ticket === undefined) return;
-      const target = this.#findTarget(ticket);
+      const hasFreeTarget = this.#targets.some((target) => this.#hasFreeSlot(target));
+      if (!hasFreeTarget) return;
+      const queued = this.#queue.take((hold) => this.#allowsHold(hold));
+      if (queued === undefined) return;
+      const target = this.#findFreeTarget(queued);
       assertInvariant(target !== undefined, 'a free slot is found for the call whose turn it is');
-      ticket.timer?.cancel();
-      ticket.resolve(this.#open(ticket, target, ticket.since));
+      queued.timer?.cancel();
+      queued.resolve(this.#openSlot(queued, target, queued.since));
     }
   }
 
-  #wait(request: SlotRequest, now: number): Promise<SlotResult> {
-    const left = request.deadline - now;
-    const limit = Math.min(request.class.wait, left);
-    const expected = this.#estimateWait(request);
+  #enqueue(request: SlotRequest, now: number): Promise<SlotResult> {
+    const timeLeft = request.deadline - now;
+    const maxWait = Math.min(request.class.wait, timeLeft);
+    const expectedWait = this.#estimateWait(request);
     if (this.#queue.size >= this.options.queueLimit) {
       return Promise.resolve(this.#refuse('queue-full'));
     }
-    if (expected > limit) return Promise.resolve(this.#refuse('wait-too-long'));
+    if (expectedWait > maxWait) return Promise.resolve(this.#refuse('wait-too-long'));
     return new Promise((resolve) => {
-      const ticket: Ticket = { ...request, since: now, resolve, timer: undefined };
+      const queued: QueuedRequest = { ...request, since: now, resolve, timer: undefined };
       const giveUp = (reason: RefusalReason) => {
-        if (!this.#queue.remove(ticket)) return;
-        ticket.timer?.cancel();
+        if (!this.#queue.remove(queued)) return;
+        queued.timer?.cancel();
         resolve(this.#refuse(reason));
       };
-      const reason = limit < left ? 'wait-too-long' : 'deadline';
-      ticket.timer = this.options.clock.schedule(limit, () => giveUp(reason));
+      const reason = maxWait < timeLeft ? 'wait-too-long' : 'deadline';
+      queued.timer = this.options.clock.schedule(maxWait, () => giveUp(reason));
       request.signal.addEventListener('abort', () => giveUp('cancelled'), { once: true });
-      this.#queue.add(ticket);
+      this.#queue.add(queued);
       this.pump();
-      this.#keepPumping();
+      this.#schedulePump();
     });
   }
 
   /** Room also appears without a release: a report grows old, a target warms up or gets its trial. */
-  #keepPumping(): void {
-    if (this.#pumping || this.#queue.size === 0) return;
-    this.#pumping = true;
-    this.options.clock.schedule(PUMP_PERIOD, () => {
-      this.#pumping = false;
+  #schedulePump(): void {
+    if (this.#isPumping || this.#queue.size === 0) return;
+    this.#isPumping = true;
+    this.options.clock.schedule(PUMP_INTERVAL_MS, () => {
+      this.#isPumping = false;
       this.pump();
-      this.#keepPumping();
+      this.#schedulePump();
     });
   }
 
@@ -217,56 +217,56 @@
   #estimateWait(request: SlotRequest): number {
     const slots = this.#countSlots();
     if (slots === 0) return 0;
-    const ahead = this.#queue.countClass(request.class.name) + 1;
-    return (ahead * this.#serviceTime.read(FIRST_SERVICE_TIME)) / slots;
+    const position = this.#queue.countClass(request.class.name) + 1;
+    return (position * this.#serviceTime.read(INITIAL_SERVICE_TIME_MS)) / slots;
   }
 
   #refuse(reason: RefusalReason): SlotRefusal {
     const load = this.#queue.size + 1;
     const slots = Math.max(1, this.#targets.length);
-    const retryAfter = (load * this.#serviceTime.read(FIRST_SERVICE_TIME)) / slots;
-    return { kind: 'refused', reason, retryAfter: Math.max(MIN_RETRY_AFTER, retryAfter) };
+    const retryAfter = (load * this.#serviceTime.read(INITIAL_SERVICE_TIME_MS)) / slots;
+    return { kind: 'refused', reason, retryAfter: Math.max(MIN_RETRY_AFTER_MS, retryAfter) };
   }
 
-  #open(request: SlotRequest, target: Target, since: number): Slot {
-    const started = this.options.clock.now();
+  #openSlot(request: SlotRequest, target: Target, requestedAt: number): Slot {
+    const startedAt = this.options.clock.now();
     const { hold } = request;
-    const roomBefore = this.#hasRoom(target);
-    assertInvariant(roomBefore, `calls in flight at ${target.name} stay within its limit`);
+    const hadFreeSlot = this.#hasFreeSlot(target);
+    assertInvariant(hadFreeSlot, `calls in flight at ${target.name} stay within its limit`);
     target.start();
-    this.#countHold(hold, 1);
-    let released = false;
+    this.#updateHoldCount(hold, 1);
+    let isReleased = false;
     return {
       kind: 'slot',
       target,
-      waited: started - since,
+      waited: startedAt - requestedAt,
       release: (end) => {
-        assertInvariant(!released, 'a slot is released once');
-        released = true;
-        const latency = this.options.clock.now() - started;
+        assertInvariant(!isReleased, 'a slot is released once');
+        isReleased = true;
+        const latency = this.options.clock.now() - startedAt;
         target.finish(end, latency);
-        this.#countHold(hold, -1);
-        if (end.kind === 'answered') this.#learn(latency);
-        if (isFailure(end)) this.#pardonIfTooMany();
+        this.#updateHoldCount(hold, -1);
+        if (end.kind === 'answered') this.#recordLatency(latency);
+        if (isFailure(end)) this.#clearEjectionsIfTooMany();
         this.pump();
       },
     };
   }
 
-  #learn(latency: number): void {
+  #recordLatency(latency: number): void {
     this.#serviceTime.add(latency, this.options.clock.now());
     this.#hedgeDelay.add(latency);
   }
 
-  #countHold(hold: Hold | undefined, step: number): void {
+  #updateHoldCount(hold: Hold | undefined, step: number): void {
     if (hold === undefined) return;
-    this.#held.set(hold.policy, (this.#held.get(hold.policy) ?? 0) + step);
+    this.#callsByPolicy.set(hold.policy, (this.#callsByPolicy.get(hold.policy) ?? 0) + step);
   }
 
   #allowsHold(hold: Hold | undefined): boolean {
     if (hold === undefined) return true;
     const slots = this.#countSlots();
-    return (this.#held.get(hold.policy) ?? 0) < Math.floor(hold.share * slots);
+    return (this.#callsByPolicy.get(hold.policy) ?? 0) < Math.floor(hold.share * slots);
   }
 
   #countSlots(): number {
@@ -275,28 +275,28 @@
     return slots;
   }
 
-  #hasUsable(): boolean {
+  #hasUsableTarget(): boolean {
     return this.#targets.some((target) => target.limit > 0);
   }
 
-  #hasRoom(target: Target): boolean {
+  #hasFreeSlot(target: Target): boolean {
     const { limit } = target;
     if (limit === 0) return false;
-    return !this.#bounded || target.inFlight + target.otherInFlight < limit;
+    return !this.#isBounded || target.inFlight + target.otherInFlight < limit;
   }
 
-  #findTarget(request: SlotRequest): Target | undefined {
-    const free = this.#targets.filter((target) => this.#hasRoom(target));
+  #findFreeTarget(request: SlotRequest): Target | undefined {
+    const free = this.#targets.filter((target) => this.#hasFreeSlot(target));
     if (free.length === 0) return undefined;
-    const fitting = free.filter(
+    const preferred = free.filter(
       (target) =>
         !request.tried.has(target) && (request.repeatable || target.readState().kind !== 'trial'),
     );
-    return this.#choose(fitting.length > 0 ? fitting : free, this.options.clock.now());
+    return this.#chooseTarget(preferred.length > 0 ? preferred : free, this.options.clock.now());
   }
 
   /** With most targets ejected the cause is likelier a shared one: use them all again. */
-  #pardonIfTooMany(): void {
+  #clearEjectionsIfTooMany(): void {
     const ejected = this.#targets.filter((target) => {
       const { kind } = target.readState();
       return kind === 'ejected' || kind === 'trial';
--- a/src/balance/probe-share.ts
+++ b/src/balance/probe-share.ts
@@ -18,16 +18,16 @@
 }
 
 /** The part of the agreed number that is lent to the homes. */
-const HOMES_PART = 0.7;
+const HOMES_SHARE = 0.7;
 
 /** The part that is left to the others; a twentieth is kept back for probes that stand in. */
-const OTHERS_PART = 0.25;
+const OTHERS_SHARE = 0.25;
 
 /**
  * Returns the least time between two probes of a target that the daemon's part allows, in
  * milliseconds. The homes that hear each other divide the targets, so that each target has one prober.
  */
 export function computeProbeInterval({ limit, members, present, isHome }: ProbeTerms): number {
-  const part = isHome ? HOMES_PART * Math.min(present, members) : OTHERS_PART;
-  return (1000 * members) / (limit * part);
+  const share = isHome ? HOMES_SHARE * Math.min(present, members) : OTHERS_SHARE;
+  return (1000 * members) / (limit * share);
 }
--- a/src/balance/queue.ts
+++ b/src/balance/queue.ts
@@ -8,7 +8,7 @@
 import type { Hold } from '../policy/index.js';
 
 /** What the queue needs to know of a waiting call. */
-export interface Waiting {
+export interface WaitingCall {
   readonly class: ClassConfig;
   readonly caller: string;
   readonly hold: Hold | undefined;
@@ -21,15 +21,15 @@
   /** Waiting calls by caller; the order of the map is the order of their turns. */
   readonly callers: Map<string, T[]>;
   /** Service received so far, divided by the weight. */
-  served: number;
+  virtualTime: number;
   size: number;
 }
 
 /** A queue with weighted lanes and turns between callers. */
-export class CallQueue<T extends Waiting> {
+export class CallQueue<T extends WaitingCall> {
   readonly #lanes = new Map<string, Lane<T>>();
 
-  #served = 0;
+  #virtualTime = 0;
 
   #size = 0;
 
@@ -50,7 +50,7 @@
   /** Adds a call at the end of its caller's turns. */
   add(item: T): void {
     const lane = this.#findLane(item);
-    if (lane.size === 0) lane.served = Math.max(lane.served, this.#served);
+    if (lane.size === 0) lane.virtualTime = Math.max(lane.virtualTime, this.#virtualTime);
     const calls = lane.callers.get(item.caller);
     if (calls === undefined) lane.callers.set(item.caller, [item]);
     else calls.push(item);
@@ -66,7 +66,7 @@
     if (calls === undefined || index < 0) return false;
     calls.splice(index, 1);
     if (calls.length === 0) lane.callers.delete(item.caller);
-    this.#shrink(lane);
+    this.#decrementSize(lane);
     return true;
   }
 
@@ -75,26 +75,26 @@
     let best: Lane<T> | undefined;
     for (const lane of this.#lanes.values()) {
       if (lane.size === 0 || !allows(lane.hold)) continue;
-      if (best === undefined || lane.served < best.served) best = lane;
+      if (best === undefined || lane.virtualTime < best.virtualTime) best = lane;
     }
     if (best === undefined) return undefined;
-    this.#served = best.served;
-    best.served += 1 / best.weight;
-    return this.#takeTurn(best);
+    this.#virtualTime = best.virtualTime;
+    best.virtualTime += 1 / best.weight;
+    return this.#takeFromLane(best);
   }
 
-  #takeTurn(lane: Lane<T>): T | undefined {
+  #takeFromLane(lane: Lane<T>): T | undefined {
     const [first] = lane.callers;
     if (first === undefined) return undefined;
     const [caller, calls] = first;
     const item = calls.shift();
     lane.callers.delete(caller);
     if (calls.length > 0) lane.callers.set(caller, calls);
-    this.#shrink(lane);
+    this.#decrementSize(lane);
     return item;
   }
 
-  #shrink(lane: Lane<T>): void {
+  #decrementSize(lane: Lane<T>): void {
     lane.size -= 1;
     this.#size -= 1;
   }
@@ -106,7 +106,7 @@
     const lane: Lane<T> = {
       ...{ name: item.class.name, weight: item.class.weight, hold: item.hold },
       ...{ callers: known?.callers ?? new Map<string, T[]>() },
-      ...{ served: known?.served ?? this.#served, size: known?.size ?? 0 },
+      ...{ virtualTime: known?.virtualTime ?? this.#virtualTime, size: known?.size ?? 0 },
     };
     this.#lanes.set(key, lane);
     return lane;
--- a/src/balance/rate-ramp.ts
+++ b/src/balance/rate-ramp.ts
@@ -3,17 +3,17 @@
 /** A rise; times in milliseconds. */
 export interface RateRamp {
   /** Requests a second that it begins with. */
-  readonly from: number;
+  readonly startRate: number;
   /** It doubles in this time. */
-  readonly doubling: number;
+  readonly doublingTime: number;
   /** After this long nothing limits any more. */
-  readonly time: number;
+  readonly duration: number;
 }
 
 /** Computes the requests a second that a target may get; undefined once nothing limits it. */
 export function computeRampRate(
-  { from, doubling, time }: RateRamp,
+  { startRate, doublingTime, duration }: RateRamp,
   elapsed: number,
 ): number | undefined {
-  return elapsed >= time ? undefined : from * 2 ** (elapsed / doubling);
+  return elapsed >= duration ? undefined : startRate * 2 ** (elapsed / doublingTime);
 }
--- a/src/balance/second-attempt.ts
+++ b/src/balance/second-attempt.ts
@@ -36,20 +36,20 @@
   | 'rescue';
 
 /** The second attempt has to be expected to end first by this factor and this many milliseconds. */
-const FACTOR = 1.3;
-const MARGIN = 15;
+const MIN_GAIN_FACTOR = 1.3;
+const MIN_GAIN_MS = 15;
 
 /** An attempt that still takes this many times a call's usual time holds its slot longer than a new one. */
 const RESCUE_FACTOR = 2;
 
 /** A last chance is taken when the first attempt would be late if it took this many times its estimate. */
-const RISK = 2;
+const RISK_FACTOR = 2;
 
 /** An attempt this many times over its expected time is stuck, where no target is known to be as slow. */
 const STUCK_FACTOR = 4;
 
 /** A call never has less than this part of its work before it, as far as anybody knows. */
-const LEAST_LEFT = 0.25;
+const MIN_LEFT_SHARE = 0.25;
 
 /** Whether an attempt has been at its target for far longer than it should. */
 export function isStuck({ work, elapsed, slowdown, slow, spread }: FirstAttempt): boolean {
@@ -67,15 +67,15 @@
 export function estimateLeft({ work, elapsed, slowdown, slow, spread }: FirstAttempt): number {
   const expected = work * slowdown;
   if (elapsed <= expected * spread) {
-    return Math.max(expected * LEAST_LEFT, expected - elapsed, elapsed - expected);
+    return Math.max(expected * MIN_LEFT_SHARE, expected - elapsed, elapsed - expected);
   }
   return Math.max(work * slow - elapsed, elapsed - expected);
 }
 
 /** Whether a second attempt could just be in time, and the first one might not. */
 function isLastChance(first: FirstAttempt, { untilAim }: TimeLeft): boolean {
-  if (untilAim <= 0 || untilAim > first.work * FACTOR) return false;
-  return estimateLeft(first) * RISK > untilAim;
+  if (untilAim <= 0 || untilAim > first.work * MIN_GAIN_FACTOR) return false;
+  return estimateLeft(first) * RISK_FACTOR > untilAim;
 }
 
 /** Judges why a second attempt would help. */
@@ -92,5 +92,5 @@
   const expected = first.work * slowdown;
   if (expected >= time.untilDeadline) return false;
   if (isLastChance(first, time)) return expected <= time.untilAim;
-  return estimateLeft(first) >= expected * FACTOR + MARGIN;
+  return estimateLeft(first) >= expected * MIN_GAIN_FACTOR + MIN_GAIN_MS;
 }
--- a/src/balance/shared-rate.ts
+++ b/src/balance/shared-rate.ts
@@ -33,12 +33,12 @@
 export const MAX_SENDERS = 4;
 
 /** Whether a home is one of those that share a target: as long as homes stay, so do they. */
-function isSharer({ homes, self }: FleetShare, target: number, sharers: number): boolean {
+function isSender({ homes, self }: FleetShare, target: number, maxSenders: number): boolean {
   if (!homes.includes(self)) return false;
-  if (homes.length <= sharers) return true;
+  if (homes.length <= maxSenders) return true;
   const key = String(target);
-  const own = getPairHash(self, key);
-  return homes.filter((home) => getPairHash(home, key) > own).length < sharers;
+  const ownHash = getPairHash(self, key);
+  return homes.filter((home) => getPairHash(home, key) > ownHash).length < maxSenders;
 }
 
 /**
@@ -47,22 +47,22 @@
  * @param target the number that stands for the target between daemons
  */
 export function computeOwnRate(
-  { rate, maxSenders: sharers }: SharedRate,
+  { rate, maxSenders }: SharedRate,
   share: FleetShare,
   target: number,
 ): number {
-  if (!isSharer(share, target, sharers)) return 0;
+  if (!isSender(share, target, maxSenders)) return 0;
   const homes = share.homes.length;
-  return rate * Math.min(1, (share.part * homes) / Math.min(homes, sharers));
+  return rate * Math.min(1, (share.part * homes) / Math.min(homes, maxSenders));
 }
 
-const SECOND = 1000;
+const SECOND_MS = 1000;
 
 /** Requests that one daemon may have saved up. */
-const MOST_SAVED = 1;
+const MAX_SAVED_REQUESTS = 1;
 
 /** Sums of many small parts of a request miss a whole one by less than this. */
-const ROUNDING = 1e-9;
+const ROUNDING_ERROR = 1e-9;
 
 /** What one daemon has saved up to send to one target: nothing at first, and never more than one request. */
 export class RateLimiter {
@@ -74,8 +74,8 @@
   maySend(now: number, rate: number): boolean {
     const elapsed = now - (this.#filledAt ?? now);
     this.#filledAt = now;
-    this.#saved = Math.min(MOST_SAVED, this.#saved + (rate * elapsed) / SECOND);
-    return this.#saved >= 1 - ROUNDING;
+    this.#saved = Math.min(MAX_SAVED_REQUESTS, this.#saved + (rate * elapsed) / SECOND_MS);
+    return this.#saved >= 1 - ROUNDING_ERROR;
   }
 
   /** Takes one request, which may be sent where nothing limits them as well. */
--- a/src/balance/slowdown-model.ts
+++ b/src/balance/slowdown-model.ts
@@ -22,134 +22,140 @@
 }
 
 /** The means follow the reports within some seconds, since targets come, go and break. */
-const MEAN_HALF_LIFE = 2000;
+const MEAN_HALF_LIFE_MS = 2000;
 
 /** Taken before there are reports: a quarter of the targets works several times as long. */
-const FIRST_MEAN = 2.5;
-const FIRST_SLOW = 6;
+const INITIAL_MEAN = 2.5;
+const INITIAL_SLOW_MEAN = 6;
 
 /** A target is called slow from this slowdown on: what noise and crowding do stays below. */
-const SLOW = 1.8;
+const MIN_SLOW_SLOWDOWN = 1.8;
 
 /** Taken before enough has been seen: about the time of a call. */
-const FIRST_LIFE = 500;
+const INITIAL_LIFETIME_MS = 500;
 
 /** Two reports closer than this have been caused by the same moment. */
-const LEAST_LAG = 15;
+const MIN_LAG_MS = 15;
 
 /** Lags are gathered in classes, each this many times as long as the one before. */
-const LAG_STEP = 1.4;
+const LAG_CLASS_FACTOR = 1.4;
 
-const LAG_CLASSES = 16;
+const LAG_CLASS_COUNT = 16;
 
 /** A class follows this many of its pairs. */
-const PAIRS_FOLLOWED = 3000;
+const MAX_AVERAGED_PAIRS = 3000;
 
 /** Pairs needed in all before anything is concluded. */
-const LEAST_PAIRS = 150;
+const MIN_PAIRS = 150;
 
 /** Lives that are tried, in milliseconds; a longer one than the last differs in nothing. */
-const LIVES: readonly number[] = [60, 80, 110, 150, 200, 270, 360, 500, 670, 900, 1200, 1600, 2400];
+const LIFETIMES_MS: readonly number[] = [
+  60, 80, 110, 150, 200, 270, 360, 500, 670, 900, 1200, 1600, 2400,
+];
 
 /** The fit is made anew after this long, in milliseconds. */
-const FIT_PACE = 1000;
+const FIT_INTERVAL_MS = 1000;
 
 interface LagClass {
   pairs: number;
   lag: number;
   /** Mean square of the difference of two speeds. */
-  difference: number;
+  meanSquare: number;
 }
 
 /** Returns the squared error of a life, and how much speeds vary in it. */
-function measureFit(classes: readonly LagClass[], life: number): number {
-  const measureShape = ({ lag }: LagClass) => Math.min(1, lag / life);
-  let both = 0;
-  let squares = 0;
+function computeFitError(classes: readonly LagClass[], lifetime: number): number {
+  const computeShape = ({ lag }: LagClass) => Math.min(1, lag / lifetime);
+  let crossSum = 0;
+  let squareSum = 0;
   for (const entry of classes) {
-    both += entry.pairs * entry.difference * measureShape(entry);
-    squares += entry.pairs * measureShape(entry) ** 2;
+    crossSum += entry.pairs * entry.meanSquare * computeShape(entry);
+    squareSum += entry.pairs * computeShape(entry) ** 2;
   }
-  const plateau = both / squares;
+  const plateau = crossSum / squareSum;
   let error = 0;
   for (const entry of classes) {
-    error += entry.pairs * (entry.difference - plateau * measureShape(entry)) ** 2;
+    error += entry.pairs * (entry.meanSquare - plateau * computeShape(entry)) ** 2;
   }
   return error;
 }
 
 /** What is learnt of one service. */
 export class SlowdownModel {
-  readonly #mean = new DecayingMean(MEAN_HALF_LIFE);
+  readonly #mean = new DecayingMean(MEAN_HALF_LIFE_MS);
 
-  readonly #slow = new DecayingMean(MEAN_HALF_LIFE);
+  readonly #slowMean = new DecayingMean(MEAN_HALF_LIFE_MS);
 
-  readonly #classes: readonly LagClass[] = Array.from({ length: LAG_CLASSES }, () => ({
-    ...{ pairs: 0, lag: 0, difference: 0 },
+  readonly #classes: readonly LagClass[] = Array.from({ length: LAG_CLASS_COUNT }, () => ({
+    ...{ pairs: 0, lag: 0, meanSquare: 0 },
   }));
 
   #pairs = 0;
 
   /** What is taken until enough has been seen here. */
-  #first: SlowdownParameters = { mean: FIRST_MEAN, slow: FIRST_SLOW, life: FIRST_LIFE };
+  #prior: SlowdownParameters = {
+    mean: INITIAL_MEAN,
+    slow: INITIAL_SLOW_MEAN,
+    life: INITIAL_LIFETIME_MS,
+  };
 
-  #life: number | undefined;
+  #lifetime: number | undefined;
 
   #fittedAt = -Infinity;
 
   /** Whether enough has been seen to be of use to others. */
   get hasEnoughSamples(): boolean {
-    return this.#pairs >= LEAST_PAIRS;
+    return this.#pairs >= MIN_PAIRS;
   }
 
   /** Takes what others have learnt, until enough has been seen here. */
-  setPrior(pattern: SlowdownParameters): void {
-    this.#first = pattern;
+  setPrior(prior: SlowdownParameters): void {
+    this.#prior = prior;
   }
 
   /** Learns the slowdown of a target that was asked regardless of how slow it is. */
   record(slowdown: number, now: number): void {
     this.#mean.add(slowdown, now);
-    if (slowdown >= SLOW) this.#slow.add(slowdown, now);
+    if (slowdown >= MIN_SLOW_SLOWDOWN) this.#slowMean.add(slowdown, now);
   }
 
   /** Learns from two reports of one target. @param lag time between them in milliseconds */
   recordPair(before: number, after: number, lag: number): void {
-    if (lag < LEAST_LAG) return;
-    const index = Math.floor(Math.log(lag / LEAST_LAG) / Math.log(LAG_STEP));
+    if (lag < MIN_LAG_MS) return;
+    const index = Math.floor(Math.log(lag / MIN_LAG_MS) / Math.log(LAG_CLASS_FACTOR));
     const entry = this.#classes[index];
     if (entry === undefined) return;
-    entry.pairs = Math.min(PAIRS_FOLLOWED, entry.pairs + 1);
+    entry.pairs = Math.min(MAX_AVERAGED_PAIRS, entry.pairs + 1);
     entry.lag += (lag - entry.lag) / entry.pairs;
     // Of speeds rather than slowdowns, so that a few very slow targets don't outweigh the others.
-    entry.difference += ((1 / after - 1 / before) ** 2 - entry.difference) / entry.pairs;
+    entry.meanSquare += ((1 / after - 1 / before) ** 2 - entry.meanSquare) / entry.pairs;
     this.#pairs += 1;
   }
 
   /** What has been learnt so far. */
   read(now: number): SlowdownParameters {
-    if (now - this.#fittedAt >= FIT_PACE) {
+    if (now - this.#fittedAt >= FIT_INTERVAL_MS) {
       this.#fittedAt = now;
-      this.#life = this.#fit();
+      this.#lifetime = this.#fitLifetime();
     }
     return {
-      mean: this.#mean.read(this.#first.mean),
-      slow: this.#slow.read(this.#first.slow),
-      life: this.#life ?? this.#first.life,
+      mean: this.#mean.read(this.#prior.mean),
+      slow: this.#slowMean.read(this.#prior.slow),
+      life: this.#lifetime ?? this.#prior.life,
     };
   }
 
-  #fit(): number | undefined {
+  #fitLifetime(): number | undefined {
     if (!this.hasEnoughSamples) return undefined;
-    const seen = this.#classes.filter(({ pairs }) => pairs > 0);
+    const observed = this.#classes.filter(({ pairs }) => pairs > 0);
     // Without any difference every life fits; a target is then as slow as the mean anyway.
-    if (seen.every(({ difference }) => difference === 0)) return undefined;
+    if (observed.every(({ meanSquare }) => meanSquare === 0)) return undefined;
     let best: number | undefined;
     let bestError = Infinity;
-    for (const life of LIVES) {
-      const error = measureFit(seen, life);
+    for (const lifetime of LIFETIMES_MS) {
+      const error = computeFitError(observed, lifetime);
       if (error >= bestError) continue;
-      best = life;
+      best = lifetime;
       bestError = error;
     }
     return best;
@@ -157,50 +163,52 @@
 }
 
 /** Reports of one target that are paired with later ones. */
-const REPORTS_KEPT = 16;
+const MAX_REPORTS = 16;
 
 /** Reports kept lie this far apart, so that they tell of a second, which is longer than most calls. */
-const KEEP_PACE = 60;
+const MIN_REPORT_DISTANCE_MS = 60;
 
 /** How much a report tells of a moment that lies some time before or after it. */
-function computeTrust(distance: number, life: number): number {
-  return Math.max(0, 1 - distance / life);
+function computeWeight(interval: number, lifetime: number): number {
+  return Math.max(0, 1 - interval / lifetime);
 }
 
-interface Report {
+interface SlowdownReport {
   readonly slowdown: number;
   readonly at: number;
 }
 
 /** The last reports of one target. */
 export class SlowdownHistory {
-  #kept: readonly Report[] = [];
+  #reports: readonly SlowdownReport[] = [];
 
-  constructor(private readonly memory: SlowdownModel) {}
+  constructor(private readonly model: SlowdownModel) {}
 
   /** Takes a report that is newer than those before. */
   record(slowdown: number, at: number): void {
-    const last = this.#kept.at(-1);
+    const last = this.#reports.at(-1);
     if (last !== undefined && at <= last.at) return;
-    for (const past of this.#kept) this.memory.recordPair(past.slowdown, slowdown, at - past.at);
+    for (const past of this.#reports) this.model.recordPair(past.slowdown, slowdown, at - past.at);
     // Of reports that come close together the last is kept.
     const isClose =
-      last !== undefined && last.at - (this.#kept.at(-2)?.at ?? -Infinity) < KEEP_PACE;
-    const before = isClose ? this.#kept.slice(0, -1) : this.#kept;
-    this.#kept = [...before.slice(1 - REPORTS_KEPT), { slowdown, at }];
+      last !== undefined &&
+      last.at - (this.#reports.at(-2)?.at ?? -Infinity) < MIN_REPORT_DISTANCE_MS;
+    const before = isClose ? this.#reports.slice(0, -1) : this.#reports;
+    this.#reports = [...before.slice(1 - MAX_REPORTS), { slowdown, at }];
   }
 
   /** Estimates how slow the target was or is at a moment, from the reports next to it. */
   estimate(at: number, { mean, life }: SlowdownParameters): number {
     // Nearly all questions are about now, and the last report answers those.
-    let index = this.#kept.length - 1;
-    while (index >= 0 && this.#kept[index].at > at) index -= 1;
-    const before: Report | undefined = this.#kept[index];
-    const after: Report | undefined = this.#kept[index + 1];
-    const trustBefore = before === undefined ? 0 : computeTrust(at - before.at, life);
-    const trustAfter = after === undefined ? 0 : computeTrust(after.at - at, life);
-    const sum = Math.max(1, trustBefore + trustAfter);
-    const told = trustBefore * (before?.slowdown ?? 0) + trustAfter * (after?.slowdown ?? 0);
-    return told / sum + mean * Math.max(0, 1 - trustBefore - trustAfter);
+    let index = this.#reports.length - 1;
+    while (index >= 0 && this.#reports[index].at > at) index -= 1;
+    const before: SlowdownReport | undefined = this.#reports[index];
+    const after: SlowdownReport | undefined = this.#reports[index + 1];
+    const weightBefore = before === undefined ? 0 : computeWeight(at - before.at, life);
+    const weightAfter = after === undefined ? 0 : computeWeight(after.at - at, life);
+    const weightSum = Math.max(1, weightBefore + weightAfter);
+    const weightedSlowdown =
+      weightBefore * (before?.slowdown ?? 0) + weightAfter * (after?.slowdown ?? 0);
+    return weightedSlowdown / weightSum + mean * Math.max(0, 1 - weightBefore - weightAfter);
   }
 }
--- a/src/balance/strategy.ts
+++ b/src/balance/strategy.ts
@@ -35,12 +35,12 @@
 }
 
 const STALL_FACTOR = 3;
-const STALL_FLOOR = 5;
+const STALL_FLOOR_MS = 5;
 const STALL_COST = 4;
 const LATENCY_WEIGHT = 0.25;
 /** Latencies this close are noise; without it one target would get every call at light load. */
-const TOLERANCE = 1.25;
-const UNKNOWN_LATENCY = 10;
+const LATENCY_TOLERANCE = 1.25;
+const UNKNOWN_LATENCY_MS = 10;
 
 /**
  * The cost of giving a target one more call, from what this entry itself has seen.
@@ -49,17 +49,19 @@
  * holds calls without ending any for much longer than its usual time is taken to have slowed down,
  * which shows within a few service times, long before its mean latency does.
  */
-function measureFreshCost(target: Target, now: number, usual: number): number {
+function computeFreshCost(target: Target, now: number, usualLatency: number): number {
   const limit = Math.max(1, target.limit);
   const busy = (target.inFlight + target.otherInFlight) / limit;
-  const slower = (target.readLatency(usual) / usual - TOLERANCE) * LATENCY_WEIGHT;
-  const stalled = target.readStall(now) > STALL_FACTOR * usual + STALL_FLOOR ? STALL_COST : 0;
-  return busy + Math.min(1, Math.max(0, slower)) + stalled;
+  const latencyCost =
+    (target.readLatency(usualLatency) / usualLatency - LATENCY_TOLERANCE) * LATENCY_WEIGHT;
+  const stallCost =
+    target.readStall(now) > STALL_FACTOR * usualLatency + STALL_FLOOR_MS ? STALL_COST : 0;
+  return busy + Math.min(1, Math.max(0, latencyCost)) + stallCost;
 }
 
-function measureUsual(candidates: readonly Target[]): number {
+function computeMeanLatency(candidates: readonly Target[]): number {
   let sum = 0;
-  for (const target of candidates) sum += target.readLatency(UNKNOWN_LATENCY);
+  for (const target of candidates) sum += target.readLatency(UNKNOWN_LATENCY_MS);
   return Math.max(1, sum / candidates.length);
 }
 
@@ -88,13 +90,17 @@
       return (candidates) => {
         const [a, b] = [pickAny(candidates), pickAny(candidates)];
         const measure = (target: Target) =>
-          target.readLatency(UNKNOWN_LATENCY) * (target.inFlight + 1);
+          target.readLatency(UNKNOWN_LATENCY_MS) * (target.inFlight + 1);
         return measure(a) <= measure(b) ? a : b;
       };
     case 'fresh':
       return (candidates, now) => {
-        const usual = measureUsual(candidates);
-        return findCheapest(candidates, (target) => measureFreshCost(target, now, usual), random);
+        const usualLatency = computeMeanLatency(candidates);
+        return findCheapest(
+          candidates,
+          (target) => computeFreshCost(target, now, usualLatency),
+          random,
+        );
       };
     default:
       return strategy satisfies never;
--- a/src/balance/target.ts
+++ b/src/balance/target.ts
@@ -59,19 +59,19 @@
   readonly random: Random;
 }
 
-const LATENCY_HALF_LIFE = 1000;
-const REPORT_LIFE = 100;
-const NOTICE_LIFE = 30_000;
+const LATENCY_HALF_LIFE_MS = 1000;
+const MAX_REPORT_AGE_MS = 100;
+const MAX_NOTICE_AGE_MS = 30_000;
 /** A target's word that it is leaving is believed this long while the list says that it is live. */
-const WORD_LIFE = 120_000;
-const CONSECUTIVE_FAILURES = 5;
-const RECENT_CALLS = 20;
-const FAILURE_SHARE = 0.5;
-const FIRST_EJECTION = 1000;
-const MAX_EJECTION = 30_000;
+const MAX_DRAINING_AGE_MS = 120_000;
+const MAX_CONSECUTIVE_FAILURES = 5;
+const OUTCOME_WINDOW_CALLS = 20;
+const MAX_FAILURE_SHARE = 0.5;
+const FIRST_EJECTION_MS = 1000;
+const MAX_EJECTION_MS = 30_000;
 const TRIAL_SUCCESSES = 3;
 const MIN_COLD_SHARE = 0.2;
-const SERVER_ERROR = 500;
+const SERVER_ERROR_STATUS = 500;
 
 interface Ejection {
   readonly until: number;
@@ -91,17 +91,17 @@
 
   #progressAt = 0;
 
-  #foreign = 0;
+  #otherInFlight = 0;
 
-  #foreignAt = -Infinity;
+  #otherInFlightAt = -Infinity;
 
-  #reported = 0;
+  #lastReported = 0;
 
   #listed: ListedState = 'live';
 
-  #word: ReportedState = 'ready';
+  #reportedState: ReportedState = 'ready';
 
-  #wordAt = -Infinity;
+  #reportedStateAt = -Infinity;
 
   #noticeAt = -Infinity;
 
@@ -113,7 +113,7 @@
 
   #ejections = 0;
 
-  readonly #latency = new DecayingMean(LATENCY_HALF_LIFE);
+  readonly #latency = new DecayingMean(LATENCY_HALF_LIFE_MS);
 
   /** Attempts by their end, since the start. */
   readonly counts = { answered: 0, notRun: 0, failed: 0, cancelled: 0, connections: 0 };
@@ -132,19 +132,19 @@
 
   /** Calls at the target from other entries, as far as a recent answer told. */
   get otherInFlight(): number {
-    const age = this.options.clock.now() - this.#foreignAt;
-    return age < REPORT_LIFE ? this.#foreign : 0;
+    const age = this.options.clock.now() - this.#otherInFlightAt;
+    return age < MAX_REPORT_AGE_MS ? this.#otherInFlight : 0;
   }
 
   /** The most calls that the target is given now. */
   get limit(): number {
-    const full = this.options.limit.read();
+    const fullLimit = this.options.limit.read();
     const state = this.readState();
     switch (state.kind) {
       case 'ready':
-        return full;
+        return fullLimit;
       case 'cold':
-        return Math.max(1, Math.floor(full * state.share));
+        return Math.max(1, Math.floor(fullLimit * state.share));
       case 'trial':
         return 1;
       case 'leaving':
@@ -169,19 +169,20 @@
   readState(): TargetState {
     const now = this.options.clock.now();
     if (this.#listed !== 'live') return { kind: 'leaving', source: `list says ${this.#listed}` };
-    if (this.#word === 'draining') {
-      return now - this.#wordAt < WORD_LIFE
+    if (this.#reportedState === 'draining') {
+      return now - this.#reportedStateAt < MAX_DRAINING_AGE_MS
         ? { kind: 'leaving', source: 'its own word' }
         : { kind: 'trial', reason: 'it said that it was leaving and is still listed' };
     }
-    if (now - this.#noticeAt < NOTICE_LIFE) return { kind: 'leaving', source: 'another entry' };
+    if (now - this.#noticeAt < MAX_NOTICE_AGE_MS)
+      return { kind: 'leaving', source: 'another entry' };
     if (this.#ejection !== undefined) {
       const { until, reason } = this.#ejection;
       return now < until ? { kind: 'ejected', until, reason } : { kind: 'trial', reason };
     }
     const { coldStart } = this.options;
-    const warmed = coldStart === 0 ? 1 : (now - this.#coldSince) / coldStart;
-    if (warmed < 1) return { kind: 'cold', share: Math.max(MIN_COLD_SHARE, warmed) };
+    const warmShare = coldStart === 0 ? 1 : (now - this.#coldSince) / coldStart;
+    if (warmShare < 1) return { kind: 'cold', share: Math.max(MIN_COLD_SHARE, warmShare) };
     return { kind: 'ready' };
   }
 
@@ -207,7 +208,7 @@
   /** Counts a call that ended and learns from how it ended. */
   finish(end: AttemptEnd, latency: number): void {
     const now = this.options.clock.now();
-    const full = this.#inFlight >= this.options.limit.read();
+    const wasFull = this.#inFlight >= this.options.limit.read();
     this.#inFlight -= 1;
     assertInvariant(this.#inFlight >= 0, `calls in flight at ${this.name} are never negative`);
     switch (end.kind) {
@@ -215,8 +216,8 @@
         this.counts.answered += 1;
         this.#progressAt = now;
         this.#latency.add(latency, now);
-        this.options.limit.recordAnswer(latency, full);
-        this.#noteOutcome(end.status < SERVER_ERROR, `status ${end.status}`);
+        this.options.limit.recordAnswer(latency, wasFull);
+        this.#recordOutcome(end.status < SERVER_ERROR_STATUS, `status ${end.status}`);
         return;
       case 'not-run':
         this.counts.notRun += 1;
@@ -225,7 +226,7 @@
         return;
       case 'failed':
         this.counts.failed += 1;
-        this.#noteOutcome(false, end.reason);
+        this.#recordOutcome(false, end.reason);
         return;
       case 'cancelled':
         this.counts.cancelled += 1;
@@ -244,7 +245,7 @@
   /** Learns the outcome of a probe while the target is ejected. */
   recordProbe(healthy: boolean): void {
     if (this.#ejection === undefined) return;
-    if (healthy) this.#noteOutcome(true, 'probe');
+    if (healthy) this.#recordOutcome(true, 'probe');
   }
 
   /**
@@ -254,34 +255,36 @@
   recordReport(report: TargetReport): void {
     const now = this.options.clock.now();
     if (report.inFlight !== undefined) {
-      const others = Math.max(0, report.inFlight - (this.#inFlight - 1));
+      const otherCalls = Math.max(0, report.inFlight - (this.#inFlight - 1));
       // One report can be off by calls that are on their way; two that agree are believed.
-      this.#foreign = Math.min(others, this.#reported);
-      this.#reported = others;
-      this.#foreignAt = now;
+      this.#otherInFlight = Math.min(otherCalls, this.#lastReported);
+      this.#lastReported = otherCalls;
+      this.#otherInFlightAt = now;
     }
     if (report.state === undefined) return;
-    if (report.state === 'cold' && this.#word !== 'cold') this.#coldSince = now;
+    if (report.state === 'cold' && this.#reportedState !== 'cold') this.#coldSince = now;
     if (report.state === 'ready') this.#noticeAt = -Infinity;
-    this.#word = report.state;
-    this.#wordAt = now;
+    this.#reportedState = report.state;
+    this.#reportedStateAt = now;
   }
 
-  #noteOutcome(success: boolean, reason: string): void {
+  #recordOutcome(success: boolean, reason: string): void {
     if (this.#ejection !== undefined) {
-      this.#noteTrial(this.#ejection, success, reason);
+      this.#recordTrial(this.#ejection, success, reason);
       return;
     }
-    this.#outcomes = [...this.#outcomes.slice(1 - RECENT_CALLS), success];
+    this.#outcomes = [...this.#outcomes.slice(1 - OUTCOME_WINDOW_CALLS), success];
     if (success) return;
-    const streak = this.#outcomes.slice(-CONSECUTIVE_FAILURES);
+    const streak = this.#outcomes.slice(-MAX_CONSECUTIVE_FAILURES);
     const failures = this.#outcomes.filter((outcome) => !outcome).length;
-    const streakOfFailures = streak.length === CONSECUTIVE_FAILURES && !streak.includes(true);
-    const half = this.#outcomes.length === RECENT_CALLS && failures > RECENT_CALLS * FAILURE_SHARE;
-    if (streakOfFailures || half) this.#eject(reason);
+    const hasFailureStreak = streak.length === MAX_CONSECUTIVE_FAILURES && !streak.includes(true);
+    const hasHighFailureShare =
+      this.#outcomes.length === OUTCOME_WINDOW_CALLS &&
+      failures > OUTCOME_WINDOW_CALLS * MAX_FAILURE_SHARE;
+    if (hasFailureStreak || hasHighFailureShare) this.#eject(reason);
   }
 
-  #noteTrial(ejection: Ejection, success: boolean, reason: string): void {
+  #recordTrial(ejection: Ejection, success: boolean, reason: string): void {
     if (!success) {
       // Calls that started before the ejection still end; they do not prolong it.
       if (this.options.clock.now() >= ejection.until) this.#eject(reason);
@@ -300,9 +303,9 @@
 
   #eject(reason: string): void {
     const { clock, random } = this.options;
-    const span = Math.min(MAX_EJECTION, FIRST_EJECTION * 2 ** this.#ejections);
+    const duration = Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * 2 ** this.#ejections);
     this.#ejections += 1;
-    const until = clock.now() + span * (0.75 + random.next() / 2);
+    const until = clock.now() + duration * (0.75 + random.next() / 2);
     this.#ejection = { until, reason, successes: 0 };
   }
 }
--- a/src/balance/wait-queue.ts
+++ b/src/balance/wait-queue.ts
@@ -37,41 +37,41 @@
 const RANKS = {
   inTime: 0,
   /** It would be in time if its turn came now; nothing is kept free for it. */
-  unsure: 1,
+  uncertain: 1,
   late: 2,
 } as const;
 
 type Rank = (typeof RANKS)[keyof typeof RANKS];
 
-interface Place<C> {
+interface QueueEntry<C> {
   readonly call: C;
   /** Whether it was let in among those that can be in time. */
-  readonly isSure: boolean;
+  readonly isAdmittedInTime: boolean;
 }
 
 /** Calls that go before another one. */
-interface Ahead {
+interface AheadCounts {
   readonly inTime: number;
   readonly late: number;
 }
 
 /** A caller that is sent back may return after this long at the earliest, in milliseconds. */
-const LEAST_RETURN = 100;
+const MIN_RETRY_DELAY_MS = 100;
 
 /** Callers return spread over this part of the wait, so that they don't meet again. */
-const RETURN_SPREAD = 0.5;
+const RETRY_JITTER = 0.5;
 
 /** Overload begins when calls that can be in time fill this part of the starts, and ends below it. */
-const OVERLOAD = 0.95;
+const OVERLOAD_DEMAND = 0.95;
 
 /** One line. */
 export class WaitQueue<C extends QueuedCall> {
-  readonly #places = new Map<C, Place<C>>();
+  readonly #entries = new Map<C, QueueEntry<C>>();
 
   /** Arrivals of calls that can be in time. */
   readonly #arrivals = new ArrivalRate();
 
-  #overloadedSince: number | undefined;
+  #overloadStart: number | undefined;
 
   #pace = 0;
 
@@ -86,12 +86,12 @@
 
   /** Calls that wait. */
   get size(): number {
-    return this.#places.size;
+    return this.#entries.size;
   }
 
   /** Notes that a call arrives, whether or not it will wait. */
   recordArrival(call: C): void {
-    if (!this.#isLate(call)) this.#arrivals.note(this.clock.now());
+    if (!this.#isLate(call)) this.#arrivals.record(this.clock.now());
   }
 
   /**
@@ -104,8 +104,8 @@
     this.#slowdown = slowdown;
     const now = this.clock.now();
     this.#opensAt = now + opensIn;
-    if (this.#arrivals.read(now) * this.#pace < OVERLOAD) this.#overloadedSince = undefined;
-    else this.#overloadedSince ??= now;
+    if (this.#arrivals.read(now) * this.#pace < OVERLOAD_DEMAND) this.#overloadStart = undefined;
+    else this.#overloadStart ??= now;
   }
 
   /** Counts those that go before a call if it is let in to be in time. */
@@ -121,57 +121,57 @@
     return this.#isLate(call) ? judgeLate(terms, outlook) : judgeArrival(terms, outlook);
   }
 
-  /** Lets a call in. @param isSure whether among those that can be in time */
-  add(call: C, isSure: boolean): void {
-    this.#places.set(call, { call, isSure });
+  /** Lets a call in. @param isAdmittedInTime whether among those that can be in time */
+  add(call: C, isAdmittedInTime: boolean): void {
+    this.#entries.set(call, { call, isAdmittedInTime });
   }
 
   /** Takes a call out: its turn has come, its caller has left, or its time is over. */
   remove(call: C): void {
-    this.#places.delete(call);
+    this.#entries.delete(call);
   }
 
   /** The calls in the order of their turns. */
   list(): readonly C[] {
-    return this.#order().map(({ call }) => call);
+    return this.#sortEntries().map(({ call }) => call);
   }
 
   /**
    * Takes out the calls that wait in vain, as the outlook is now, with the wait that each would have.
    *
-   * @param withRepeats whether also those that a target has had before
+   * @param includeRepeats whether also those that a target has had before
    */
-  removeHopeless(withRepeats = false): readonly { readonly call: C; readonly wait: number }[] {
+  removeHopeless(includeRepeats = false): readonly { readonly call: C; readonly wait: number }[] {
     const ahead = { inTime: 0, late: 0 };
-    const vain: { readonly call: C; readonly wait: number }[] = [];
-    for (const place of this.#order()) {
-      const { call } = place;
-      if (this.#rank(place) === RANKS.inTime) {
+    const removed: { readonly call: C; readonly wait: number }[] = [];
+    for (const entry of this.#sortEntries()) {
+      const { call } = entry;
+      if (this.#getRank(entry) === RANKS.inTime) {
         ahead.inTime += 1;
         continue;
       }
       const admission = judgeLate(this.#describeTerms(call), this.#describeOutlook(ahead));
-      const mayBeRefused = withRepeats || call.mayBeRefused;
+      const mayBeRefused = includeRepeats || call.mayBeRefused;
       if (admission.kind === 'refuse' && mayBeRefused && call.isWorkKnown) {
-        vain.push({ call, wait: admission.wait });
+        removed.push({ call, wait: admission.wait });
         this.remove(call);
       } else ahead.late += 1;
     }
-    return vain;
+    return removed;
   }
 
   /** Chooses when a caller may return: after the wait, and not together with others. */
   chooseRetryDelay(wait: number): number {
-    return Math.max(LEAST_RETURN, wait * (1 + RETURN_SPREAD * this.random.next()));
+    return Math.max(MIN_RETRY_DELAY_MS, wait * (1 + RETRY_JITTER * this.random.next()));
   }
 
-  #describeOutlook({ inTime, late }: Ahead): QueueOutlook {
+  #describeOutlook({ inTime, late }: AheadCounts): QueueOutlook {
     const now = this.clock.now();
     return {
       opensIn: Math.max(0, this.#opensAt - now),
-      ...{ pace: this.#pace, ahead: inTime, lateAhead: late },
+      ...{ pace: this.#pace, inTimeAhead: inTime, lateAhead: late },
       demand: this.#arrivals.read(now) * this.#pace,
-      overloadAge: now - (this.#overloadedSince ?? now),
+      overloadDuration: now - (this.#overloadStart ?? now),
     };
   }
 
@@ -184,28 +184,28 @@
     return this.clock.now() + work * this.#slowdown > aimAt;
   }
 
-  #order(): readonly Place<C>[] {
-    const places = [...this.#places.values()];
-    return places.length < 2 ? places : places.sort((a, b) => this.#compare(a, b));
+  #sortEntries(): readonly QueueEntry<C>[] {
+    const entries = [...this.#entries.values()];
+    return entries.length < 2 ? entries : entries.sort((a, b) => this.#compareEntries(a, b));
   }
 
-  #rank({ call, isSure }: Place<C>): Rank {
+  #getRank({ call, isAdmittedInTime }: QueueEntry<C>): Rank {
     if (this.#isLate(call)) return RANKS.late;
-    return isSure ? RANKS.inTime : RANKS.unsure;
+    return isAdmittedInTime ? RANKS.inTime : RANKS.uncertain;
   }
 
-  #compare(a: Place<C>, b: Place<C>): number {
-    const rank = this.#rank(a);
-    const urgency = rank - this.#rank(b) || a.call.priority - b.call.priority;
+  #compareEntries(a: QueueEntry<C>, b: QueueEntry<C>): number {
+    const rank = this.#getRank(a);
+    const urgency = rank - this.#getRank(b) || a.call.priority - b.call.priority;
     if (urgency !== 0) return urgency;
     return rank === RANKS.late ? a.call.deadline - b.call.deadline : a.call.aimAt - b.call.aimAt;
   }
 
-  #countAhead(call: C): Ahead {
+  #countAhead(call: C): AheadCounts {
     const ahead = { inTime: 0, late: 0 };
-    for (const place of this.#places.values()) {
-      if (this.#compare(place, { call, isSure: true }) > 0) continue;
-      if (this.#rank(place) === RANKS.inTime) ahead.inTime += 1;
+    for (const entry of this.#entries.values()) {
+      if (this.#compareEntries(entry, { call, isAdmittedInTime: true }) > 0) continue;
+      if (this.#getRank(entry) === RANKS.inTime) ahead.inTime += 1;
       else ahead.late += 1;
     }
     return ahead;
--- a/src/balance/window-budget.ts
+++ b/src/balance/window-budget.ts
@@ -24,10 +24,10 @@
 }
 
 /** Slices of a window; what is counted lags by at most one of them, on the careful side. */
-const SLICES = 40;
+const SLICES_PER_WINDOW = 40;
 
 /** The part of the share that is used, since counts of two daemons differ by what is under way. */
-const CAREFUL = 0.85;
+const SAFETY_SHARE = 0.85;
 
 /** Counts the requests and repeats of one service in this daemon. */
 export class WindowBudget {
@@ -43,12 +43,12 @@
 
   /** Counts one request of a caller. */
   recordRequest(): void {
-    this.#findSlice().requests += 1;
+    this.#findCurrentSlice().requests += 1;
   }
 
   /** Takes one repeat if the budget of the last window allows it. */
   spend(): boolean {
-    const slice = this.#findSlice();
+    const slice = this.#findCurrentSlice();
     const { ratio, slack } = this.readTerms();
     let requests = 0;
     let repeats = 0;
@@ -56,7 +56,7 @@
       requests += past.requests;
       repeats += past.repeats;
     }
-    if (repeats + 1 > CAREFUL * ratio * requests + slack) {
+    if (repeats + 1 > SAFETY_SHARE * ratio * requests + slack) {
       this.counts.denied += 1;
       return false;
     }
@@ -65,14 +65,17 @@
     return true;
   }
 
-  #findSlice(): Slice {
+  #findCurrentSlice(): Slice {
     const { window } = this.readTerms();
-    const index = Math.floor(this.clock.now() / (window / SLICES));
+    const index = Math.floor(this.clock.now() / (window / SLICES_PER_WINDOW));
     const last = this.#slices.at(-1);
     if (last !== undefined && last.index === index) return last;
     const slice: Slice = { index, requests: 0, repeats: 0 };
     // One slice more than the window holds, so that no span of its length is counted short.
-    this.#slices = [...this.#slices.filter((past) => past.index >= index - SLICES), slice];
+    this.#slices = [
+      ...this.#slices.filter((past) => past.index >= index - SLICES_PER_WINDOW),
+      slice,
+    ];
     return slice;
   }
 }
--- a/test/balance.test.ts
+++ b/test/balance.test.ts
@@ -24,7 +24,7 @@
 const URGENT: ClassConfig = { name: 'urgent', weight: 16, wait: 1000 };
 const ANSWERED = { kind: 'answered', status: 200 } as const;
 const FAILED = { kind: 'failed', reason: 'test' } as const;
-const NOBODY: ReadonlySet<Target> = new Set();
+const NO_TARGETS: ReadonlySet<Target> = new Set();
 
 class Bench {
   readonly clock = new ManualClock();
@@ -51,7 +51,7 @@
 
   ask(part: Partial<SlotRequest> = {}): Promise<SlotResult> {
     return this.pool.takeSlot({
-      ...{ class: NORMAL, caller: 'a', hold: undefined, repeatable: true, tried: NOBODY },
+      ...{ class: NORMAL, caller: 'a', hold: undefined, repeatable: true, tried: NO_TARGETS },
       ...{ deadline: this.clock.now() + 5000, signal: new AbortController().signal, ...part },
     });
   }
@@ -352,26 +352,26 @@
   const names = Array.from({ length: 30 }, (_, index) => `10.0.0.${index}:80`);
 
   it('stand in different failure domains', () => {
-    const need = { name: 'ledger', homes: 3, expected_rate: 1, needed: 1 };
-    const { homes } = planHomes(need, createEntries(17));
+    const requirements = { name: 'ledger', homes: 3, expected_rate: 1, needed: 1 };
+    const { homes } = planHomes(requirements, createEntries(17));
     expect(new Set(homes.map(({ domain }) => domain)).size).to.equal(3);
   });
 
   it('follow from the rate', () => {
-    const need = { name: 'ledger', homes: 0, expected_rate: 4000, needed: 1 };
-    expect(planHomes(need, createEntries(17)).homes).to.have.length(3);
+    const requirements = { name: 'ledger', homes: 0, expected_rate: 4000, needed: 1 };
+    expect(planHomes(requirements, createEntries(17)).homes).to.have.length(3);
   });
 
   it('follow from the measured load, up at once and down after a minute', () => {
     const board = new LoadBoard();
-    const hear = (rate: number, now: number) =>
+    const report = (rate: number, now: number) =>
       board.add({ service: 's', entry: 'a', rate, age: 0 }, now);
     expect(board.countHomes('s', 0)).to.equal(1);
-    hear(3100, 1000);
+    report(3100, 1000);
     expect(board.countHomes('s', 1000)).to.equal(3);
-    hear(900, 2000);
+    report(900, 2000);
     expect(board.countHomes('s', 2000)).to.equal(3);
-    hear(900, 62_000);
+    report(900, 62_000);
     expect(board.countHomes('s', 62_000)).to.equal(1);
     expect(board.list(90_000)).to.deep.equal([]);
   });
@@ -392,13 +392,13 @@
 
   it('move few services when an entry goes', () => {
     const entries = createEntries(17);
-    const [gone, ...rest] = entries;
+    const [removed, ...rest] = entries;
     let moved = 0;
     for (let index = 0; index < 200; index += 1) {
-      const need = { name: `s${index}`, homes: 1, expected_rate: 1, needed: 1 };
-      const [before] = planHomes(need, entries).homes;
-      const [after] = planHomes(need, rest).homes;
-      if (before !== gone && before?.id !== after?.id) moved += 1;
+      const requirements = { name: `s${index}`, homes: 1, expected_rate: 1, needed: 1 };
+      const [before] = planHomes(requirements, entries).homes;
+      const [after] = planHomes(requirements, rest).homes;
+      if (before !== removed && before?.id !== after?.id) moved += 1;
     }
     expect(moved).to.be.below(10);
   });
--- a/test/failure-rate.test.ts
+++ b/test/failure-rate.test.ts
@@ -8,14 +8,14 @@
 import { createSeededRandom } from '../src/kernel/index.js';
 
 const TARGETS = 270;
-const GREY_PART = 2 / 3;
-const REJECTED_PART = 0.55;
-const CALLS_A_SECOND = 130;
-const WORK = 350;
+const GREY_SHARE = 2 / 3;
+const REJECTED_SHARE = 0.55;
+const CALLS_PER_SECOND = 130;
+const WORK_MS = 350;
 
-interface Sample {
+interface SimulatedTarget {
   readonly isGrey: boolean;
-  readonly isFar: boolean;
+  readonly isOtherDomain: boolean;
   readonly rate: FailureRate;
   endsAt: number[];
   slowdown: number;
@@ -24,42 +24,50 @@
 /** Sends the calls of one home for ten seconds; returns the part rejected in the last seven. */
 function runHome(seed: number): number {
   const random = createSeededRandom(seed);
-  const targets: Sample[] = Array.from({ length: TARGETS }, (_, index) => ({
-    ...{ isGrey: random.next() < GREY_PART, isFar: index % 3 > 0, rate: new FailureRate() },
+  const targets: SimulatedTarget[] = Array.from({ length: TARGETS }, (_, index) => ({
+    ...{
+      isGrey: random.next() < GREY_SHARE,
+      isOtherDomain: index % 3 > 0,
+      rate: new FailureRate(),
+    },
     ...{ endsAt: [], slowdown: 1 },
   }));
   const pool = {
-    sameDomain: targets.filter(({ isFar }) => !isFar),
-    otherDomains: targets.filter(({ isFar }) => isFar),
+    sameDomain: targets.filter(({ isOtherDomain }) => !isOtherDomain),
+    otherDomains: targets.filter(({ isOtherDomain }) => isOtherDomain),
   };
   let [sent, rejected, redrawnAt] = [0, 0, -Infinity];
-  for (let now = 0; now < 10_000; now += 1000 / CALLS_A_SECOND) {
+  for (let now = 0; now < 10_000; now += 1000 / CALLS_PER_SECOND) {
     if (now - redrawnAt >= 500) {
       redrawnAt = now;
       for (const target of targets) target.slowdown = random.next() < 0.3 ? 7 : 1;
     }
-    const drawn = drawCandidates(pool, { random, isUsable: () => true });
-    const advice = chooseTarget(
-      drawn,
+    const candidates = drawCandidates(pool, { random, isUsable: () => true });
+    const choice = chooseTarget(
+      candidates,
       (target) => {
         target.endsAt = target.endsAt.filter((at) => at > now);
         return {
           ...{ slots: 4, calls: target.endsAt.length, slowdown: target.slowdown, coldFactor: 1 },
-          ...{ failureRatio: target.rate.read(now), isSuspect: false, isOtherDomain: target.isFar },
+          ...{
+            failureRatio: target.rate.read(now),
+            isSuspect: false,
+            isOtherDomain: target.isOtherDomain,
+          },
         };
       },
       { callsAhead: 0, callRatio: 3, targetsPerCandidate: TARGETS / 64, random, bodyBytes: 0 },
     );
-    if (advice.kind !== 'now') continue;
-    const { candidate } = advice;
-    const isRejected = candidate.isGrey && random.next() < REJECTED_PART;
+    if (choice.kind !== 'now') continue;
+    const { candidate } = choice;
+    const isRejected = candidate.isGrey && random.next() < REJECTED_SHARE;
     if (now >= 3000) {
       sent += 1;
       rejected += Number(isRejected);
     }
     if (isRejected) candidate.rate.recordFailure(now);
     else {
-      candidate.endsAt.push(now + WORK * candidate.slowdown);
+      candidate.endsAt.push(now + WORK_MS * candidate.slowdown);
       candidate.rate.recordSuccess(now);
     }
   }
@@ -76,15 +84,15 @@
     const usual = { slots: 4, slowdown: 1, coldFactor: 1, isSuspect: false, isOtherDomain: false };
     const free = { ...usual, calls: 0, failureRatio: 2 };
     const full = { ...usual, calls: 4, failureRatio: 0 };
-    const looked = [...Array(20).fill(free), ...Array(10).fill(full)] as (typeof free)[];
+    const candidates = [...Array(20).fill(free), ...Array(10).fill(full)] as (typeof free)[];
     const terms = { callsAhead: 0, callRatio: 3, targetsPerCandidate: 4, random, bodyBytes: 0 };
-    const wait = chooseTarget(looked, (prospect) => prospect, { ...terms, callsAhead: 0 });
+    const short = chooseTarget(candidates, (load) => load, { ...terms, callsAhead: 0 });
     // A target that fails two of three is worth a short wait, and no long one.
-    expect(wait.kind).to.equal('wait');
-    const behind = chooseTarget(looked, (prospect) => prospect, { ...terms, callsAhead: 120 });
-    expect(behind.kind).to.equal('now');
-    const mended = looked.map((it) => (it === free ? { ...free, failureRatio: 0.5 } : it));
-    const soon = chooseTarget(mended, (prospect) => prospect, { ...terms, callsAhead: 30 });
+    expect(short.kind).to.equal('wait');
+    const long = chooseTarget(candidates, (load) => load, { ...terms, callsAhead: 120 });
+    expect(long.kind).to.equal('now');
+    const recovered = candidates.map((it) => (it === free ? { ...free, failureRatio: 0.5 } : it));
+    const soon = chooseTarget(recovered, (load) => load, { ...terms, callsAhead: 30 });
     expect(soon.kind).to.equal('now');
   });
   it('are weighed by failures against successes', () => {
--- a/test/load.test.ts
+++ b/test/load.test.ts
@@ -39,94 +39,97 @@
 };
 
 describe('what is believed of a target', () => {
-  const word = { running: 2, waiting: 0, slots: 3, slowdown: 7 };
+  const report = { running: 2, waiting: 0, slots: 3, slowdown: 7 };
 
   it("counts own calls exactly and the other homes' as they told", () => {
-    const belief = new LoadEstimate();
-    belief.start(0);
-    belief.observeHomeCalls('b', 2, 10);
-    belief.observeHomeCalls('c', 1, 10);
-    expect(belief.countCalls(20, 3)).to.equal(4);
-    belief.observeHomeCalls('b', 0, 30);
-    belief.finish();
-    expect(belief.countCalls(31, 3)).to.equal(1);
+    const estimate = new LoadEstimate();
+    estimate.start(0);
+    estimate.observeHomeCalls('b', 2, 10);
+    estimate.observeHomeCalls('c', 1, 10);
+    expect(estimate.countCalls(20, 3)).to.equal(4);
+    estimate.observeHomeCalls('b', 0, 30);
+    estimate.finish();
+    expect(estimate.countCalls(31, 3)).to.equal(1);
   });
   it('adds from a report only what nobody told of', () => {
-    const belief = new LoadEstimate();
-    belief.observeHomeCalls('b', 2, 0);
-    belief.observeReport({ ...word, running: 2 }, 0, 10);
-    expect(belief.countCalls(11, 2)).to.equal(2);
-    belief.observeReport({ ...word, running: 3, waiting: 3 }, 0, 20);
-    expect(belief.countCalls(21, 2)).to.equal(5);
+    const estimate = new LoadEstimate();
+    estimate.observeHomeCalls('b', 2, 0);
+    estimate.observeReport({ ...report, running: 2 }, 0, 10);
+    expect(estimate.countCalls(11, 2)).to.equal(2);
+    estimate.observeReport({ ...report, running: 3, waiting: 3 }, 0, 20);
+    expect(estimate.countCalls(21, 2)).to.equal(5);
   });
   it('takes a report where a home is silent, and its own share times the homes without either', () => {
-    const belief = new LoadEstimate();
-    belief.start(0);
-    expect(belief.countCalls(1, 3)).to.equal(3);
-    belief.observeReport({ ...word, running: 2 }, 1, 100);
-    expect(belief.countCalls(101, 3)).to.equal(2);
-    expect(belief.countCalls(5000, 3)).to.equal(3);
+    const estimate = new LoadEstimate();
+    estimate.start(0);
+    expect(estimate.countCalls(1, 3)).to.equal(3);
+    estimate.observeReport({ ...report, running: 2 }, 1, 100);
+    expect(estimate.countCalls(101, 3)).to.equal(2);
+    expect(estimate.countCalls(5000, 3)).to.equal(3);
   });
   it('a call that is still on its way is not in a report', () => {
-    const belief = new LoadEstimate();
-    belief.start(0);
-    belief.start(99);
-    expect(belief.countArrived(100)).to.equal(1);
+    const estimate = new LoadEstimate();
+    estimate.start(0);
+    estimate.start(99);
+    expect(estimate.countArrived(100)).to.equal(1);
   });
   it('believes the newest word of a slowdown, whoever heard it', () => {
-    const belief = new LoadEstimate();
-    belief.observeReport(word, 0, 1000);
-    expect(belief.observeSlowdown(1, 900)).to.equal(false);
-    expect(belief.lastSlowdown).to.equal(7);
-    expect(belief.observeSlowdown(1, 1100)).to.equal(true);
-    expect(belief.lastSlowdown).to.equal(1);
+    const estimate = new LoadEstimate();
+    estimate.observeReport(report, 0, 1000);
+    expect(estimate.observeSlowdown(1, 900)).to.equal(false);
+    expect(estimate.lastSlowdown).to.equal(7);
+    expect(estimate.observeSlowdown(1, 1100)).to.equal(true);
+    expect(estimate.lastSlowdown).to.equal(1);
   });
 });
 
 describe('advice for a call', () => {
   const random = createSeededRandom(3);
   const terms = { callsAhead: 0, callRatio: 1, targetsPerCandidate: 1, random, bodyBytes: 0 };
-  const find = (prospects: readonly CandidateLoad[], ahead = 0) =>
-    chooseTarget(prospects, (prospect) => prospect, { ...terms, callsAhead: ahead });
+  const findChoice = (loads: readonly CandidateLoad[], callsAhead = 0) =>
+    chooseTarget(loads, (load) => load, { ...terms, callsAhead });
 
   it('names the quick and idle one', () => {
-    const quick = { ...IDLE, calls: 1 };
-    const advice = find([{ ...IDLE, slowdown: 7 }, quick, { ...IDLE, failureRatio: 2 }]);
-    expect(advice).to.have.property('candidate', quick);
+    const fast = { ...IDLE, calls: 1 };
+    const choice = findChoice([{ ...IDLE, slowdown: 7 }, fast, { ...IDLE, failureRatio: 2 }]);
+    expect(choice).to.have.property('candidate', fast);
   });
   it('waits for a quick one rather than go to a slow one', () => {
     const full = { ...IDLE, calls: 3 };
-    expect(find([full, full, { ...IDLE, slowdown: 7 }]).kind).to.equal('wait');
+    expect(findChoice([full, full, { ...IDLE, slowdown: 7 }]).kind).to.equal('wait');
   });
   it('goes to a slow one when too many wait', () => {
-    const advice = find(
+    const choice = findChoice(
       [
         { ...IDLE, calls: 3 },
         { ...IDLE, slowdown: 3 },
       ],
       20,
     );
-    expect(advice.kind).to.equal('now');
+    expect(choice.kind).to.equal('now');
   });
   it('keeps a long body in its domain where a free target there is quick', () => {
-    const near = { ...IDLE, calls: 2 };
-    const far = { ...IDLE, isFar: true };
+    const sameDomain = { ...IDLE, calls: 2 };
+    const otherDomain = { ...IDLE, isOtherDomain: true };
     const slow = { ...IDLE, slowdown: 7 };
     const full = { ...IDLE, calls: 3 };
-    const findFor = (prospects: readonly CandidateLoad[], bodyBytes: number) =>
-      chooseTarget(prospects, (prospect) => prospect, { ...terms, bodyBytes });
-    expect(findFor([near, far], 1000)).to.have.property('candidate', far);
-    expect(findFor([near, far], 60_000)).to.have.property('candidate', near);
-    expect(findFor([slow, far], 60_000)).to.have.property('candidate', far);
-    expect(findFor([full, far], 400_000)).to.have.property('candidate', far);
-  });
-  it('says so when there is none', () => expect(find([]).kind).to.equal('none'));
+    const findForBody = (loads: readonly CandidateLoad[], bodyBytes: number) =>
+      chooseTarget(loads, (load) => load, { ...terms, bodyBytes });
+    expect(findForBody([sameDomain, otherDomain], 1000)).to.have.property('candidate', otherDomain);
+    expect(findForBody([sameDomain, otherDomain], 60_000)).to.have.property(
+      'candidate',
+      sameDomain,
+    );
+    expect(findForBody([slow, otherDomain], 60_000)).to.have.property('candidate', otherDomain);
+    expect(findForBody([full, otherDomain], 400_000)).to.have.property('candidate', otherDomain);
+  });
+  it('says so when there is none', () => expect(findChoice([]).kind).to.equal('none'));
   it('costs more for failures, doubt, cold and distance', () => {
     for (const worse of [
-      { failures: 1 },
-      { doubtful: true },
-      { cold: 2 },
-      { isFar: true },
+      { failureRatio: 1 },
+      { isSuspect: true },
+      { coldFactor: 2 },
+      { isOtherDomain: true },
       { calls: 2 },
     ]) {
       expect(computeCost({ ...IDLE, ...worse })).to.be.greaterThan(computeCost(IDLE));
@@ -140,7 +143,7 @@
   });
   const first = makeFirst(20, 1);
   const time = { untilAim: 150, untilDeadline: 1000 };
-  for (const [what, changes, left, need] of [
+  for (const [what, changes, left, reason] of [
     ['is not needed while the first is in time', {}, {}, 'none'],
     ['is needed when the first will be late', makeFirst(0, 1.4), { untilAim: 80 }, 'late'],
     ['rescues a call whose target turned slow', makeFirst(20, 7), {}, 'rescue'],
@@ -148,9 +151,9 @@
     ['is no last chance after the aim', makeFirst(80, 1), { untilAim: -10 }, 'late'],
     ['is no last chance while the first will do', makeFirst(30, 1), { untilAim: 75 }, 'none'],
   ] as const) {
-    it(`${what}: ${need}`, () => {
+    it(`${what}: ${reason}`, () => {
       expect(findSecondAttemptReason({ ...first, ...changes }, { ...time, ...left })).to.equal(
-        need,
+        reason,
       );
     });
   }
@@ -197,21 +200,21 @@
 
 describe('the knee of a service', () => {
   it('keeps to fewer calls where the last slots bring nothing, and to all where they do', () => {
-    const [bent, straight] = [new KneeEstimate(), new KneeEstimate()];
+    const [withKnee, withoutKnee] = [new KneeEstimate(), new KneeEstimate()];
     for (let index = 0; index < 200; index += 1) {
       for (const [estimate, factor] of [
-        [bent, 1.7],
-        [straight, 1.05],
+        [withKnee, 1.7],
+        [withoutKnee, 1.05],
       ] as const) {
         estimate.observe(1, [0.3, 0.6], index * 10);
         estimate.observe(factor, [1, 1], index * 10);
         estimate.observe(factor * 3, [0.3, 1], index * 10);
       }
     }
-    expect(bent.findConcurrencyLimit(3)).to.equal(2);
-    expect(bent.findConcurrencyLimit(6)).to.equal(4);
-    expect(straight.findConcurrencyLimit(3)).to.equal(3);
-    expect(straight.findConcurrencyLimit(1)).to.equal(1);
+    expect(withKnee.findConcurrencyLimit(3)).to.equal(2);
+    expect(withKnee.findConcurrencyLimit(6)).to.equal(4);
+    expect(withoutKnee.findConcurrencyLimit(3)).to.equal(3);
+    expect(withoutKnee.findConcurrencyLimit(1)).to.equal(1);
   });
   it('changes nothing before it has seen enough', () => {
     const estimate = new KneeEstimate();
@@ -396,20 +399,24 @@
   });
   it('are weak ones the less often the weaker they are, and a strong spare', () => {
     const strong = { ...makeHome('s', 'd1'), capacity: 1.35 };
-    const weak = [1, 2, 3].map((index) => ({ ...makeHome(`w${index}`, 'd1'), capacity: 0.27 }));
+    const weakHomes = [1, 2, 3].map((index) => ({
+      ...makeHome(`w${index}`, 'd1'),
+      capacity: 0.27,
+    }));
     const elsewhere = [
       { ...makeHome('x', 'd2'), capacity: 0.27 },
       { ...b, capacity: 1.35 },
     ];
     const calls = new Map<string, number>();
     for (let lookup = 0; lookup < 3000; lookup += 1) {
-      const named = chooseHomes([strong, ...weak, ...elsewhere], 'd1', random);
-      expect(named).to.include(strong);
-      expect(named.at(-1)?.ip).to.equal('b');
-      for (const { ip } of named) calls.set(ip, (calls.get(ip) ?? 0) + 1 / named.length);
+      const chosen = chooseHomes([strong, ...weakHomes, ...elsewhere], 'd1', random);
+      expect(chosen).to.include(strong);
+      expect(chosen.at(-1)?.ip).to.equal('b');
+      for (const { ip } of chosen) calls.set(ip, (calls.get(ip) ?? 0) + 1 / chosen.length);
     }
     const strongCalls = calls.get('s') ?? 0;
-    for (const { ip } of weak) expect((calls.get(ip) ?? 0) / strongCalls).to.be.within(0.1, 0.3);
+    for (const { ip } of weakHomes)
+      expect((calls.get(ip) ?? 0) / strongCalls).to.be.within(0.1, 0.3);
   });
   it('are all of them for a caller from elsewhere', () => {
     expect(chooseHomes([a, b], 'd9', random)).to.deep.equal([a, b]);
@@ -449,13 +456,13 @@
 describe('what is left of the aims of callers who are not equally patient', () => {
   const route = { name: 'r', targetLatency: 334 } as Route;
   const random = createSeededRandom(9);
-  const drawPatience = () => 5541 * (0.85 + 0.15 * random.next());
+  const drawTimeout = () => 5541 * (0.85 + 0.15 * random.next());
 
   it('is nearly all of it at their first tries', () => {
     const aims = new LatencyBudgets();
-    for (let count = 0; count < 200; count += 1) aims.read(route, drawPatience(), count * 10);
+    for (let count = 0; count < 200; count += 1) aims.read(route, drawTimeout(), count * 10);
     const left = Array.from({ length: 400 }, (_, count) =>
-      aims.read(route, drawPatience(), 2000 + count * 10),
+      aims.read(route, drawTimeout(), 2000 + count * 10),
     );
     expect(left.filter((it) => it < 200).length / left.length).to.be.below(0.1);
   });
@@ -463,7 +470,7 @@
     const aims = new LatencyBudgets();
     for (let count = 0; count < 600; count += 1) {
       const spent = count % 3 === 0 ? 1500 : 0;
-      aims.read(route, drawPatience() - spent, count * 10);
+      aims.read(route, drawTimeout() - spent, count * 10);
     }
     expect(aims.read(route, 5541 * 0.85 - 1500, 6000)).to.be.below(0);
   });
--- a/test/poison-record.test.ts
+++ b/test/poison-record.test.ts
@@ -6,7 +6,12 @@
 const MINUTE = 60_000;
 const DAY = 24 * 60 * MINUTE;
 
-const TERMS: PoisonContext = { now: 0, targets: 30, releases: new Set(['v1']), mayRunTrials: true };
+const CONTEXT: PoisonContext = {
+  now: 0,
+  targets: 30,
+  releases: new Set(['v1']),
+  mayRunTrials: true,
+};
 
 const makeEnd = (target: number, release = 'v1') => ({ target, release });
 
@@ -16,8 +21,8 @@
     record = new PoisonRecord();
   });
 
-  const judge = (now: number, terms: Partial<PoisonContext> = {}, request = 'q') =>
-    record.judge(request, { ...TERMS, ...terms, now });
+  const judge = (now: number, context: Partial<PoisonContext> = {}, request = 'q') =>
+    record.judge(request, { ...CONTEXT, ...context, now });
 
   describe('who is to blame', () => {
     it('is nobody without an end, a suspect after one, held out after two', () => {
@@ -30,18 +35,18 @@
     });
     it('counts the end of one life once, whoever tells of it', () => {
       record.recordTargetEnd('q', makeEnd(1), 0);
-      const word = { request: 'q', ended: [1], releases: ['v1'], changedAt: 40 };
-      expect(record.receive(word, 50)).to.equal('known');
+      const poisonCase = { request: 'q', ended: [1], releases: ['v1'], changedAt: 40 };
+      expect(record.receive(poisonCase, 50)).to.equal('known');
       expect(judge(60).kind).to.equal('suspect');
     });
     it('is nobody that a target ran to its end, and words of before say nothing', () => {
       record.recordTargetEnd('q', makeEnd(1), 0);
       expect(record.recordAnswer('q', 200)?.ended).to.deep.equal([]);
       expect(judge(201).kind).to.equal('clear');
-      const late = { request: 'q', ended: [1, 2], releases: ['v1'], changedAt: 150 };
-      expect(record.receive(late, 300)).to.equal('outdated');
+      const received = { request: 'q', ended: [1, 2], releases: ['v1'], changedAt: 150 };
+      expect(record.receive(received, 300)).to.equal('outdated');
       expect(judge(301).kind).to.equal('clear');
-      expect(record.receive({ ...late, changedAt: 350 }, 360)).to.equal('news');
+      expect(record.receive({ ...received, changedAt: 350 }, 360)).to.equal('news');
       expect(judge(361).kind).to.equal('held');
     });
     it('lets a copy wait while one of them runs', () => {
@@ -78,10 +83,10 @@
       record.recordTargetEnd('q', makeEnd(2), 100);
     });
     /** Asks every second for a day, and ends a target at each trial. */
-    const countEnds = (terms: Partial<PoisonContext>) => {
+    const countEnds = (context: Partial<PoisonContext>) => {
       let ended = 0;
       for (let now = 1000; now < DAY; now += 1000) {
-        if (judge(now, terms).kind !== 'suspect') continue;
+        if (judge(now, context).kind !== 'suspect') continue;
         ended += 1;
         record.recordTargetEnd('q', makeEnd(100 + ended), now);
       }
@@ -93,46 +98,46 @@
     });
     it('tries a new release at once, and only that', () => {
       const releases = new Set(['v1', 'v2']);
-      expect(judge(500, { releases })).to.deep.equal({ kind: 'suspect', avoided: ['v1'] });
+      expect(judge(500, { releases })).to.deep.equal({ kind: 'suspect', avoidedReleases: ['v1'] });
       record.recordTargetEnd('q', makeEnd(3, 'v2'), 600);
       expect(judge(700, { releases }).kind).to.equal('held');
     });
     it('tells the others, and who has not heard it when that one tells of it', () => {
-      const held = record.findCase('q');
+      const heldOut = record.findCase('q');
       record.recordAnswer('q', 20_000);
-      expect(record.receive(held ?? expect.fail('held'), 30_000)).to.equal('outdated');
+      expect(record.receive(heldOut ?? expect.fail('held'), 30_000)).to.equal('outdated');
       const other = new PoisonRecord();
       other.recordTargetEnd('q', makeEnd(1), 0);
       other.recordTargetEnd('q', makeEnd(2), 100);
       const cleared = record.findCase('q') ?? expect.fail('remembered');
       expect(other.receive(cleared, 30_000)).to.equal('news');
-      expect(other.judge('q', { ...TERMS, now: 30_001 }).kind).to.equal('clear');
+      expect(other.judge('q', { ...CONTEXT, now: 30_001 }).kind).to.equal('clear');
     });
   });
 
   describe('words of other daemons', () => {
     it('give the same in any order, and more than once', () => {
-      const word = fc.record({
+      const poisonCase = fc.record({
         ended: fc.array(fc.integer({ min: 1, max: 4 }), { minLength: 1, maxLength: 3 }),
         changedAt: fc.integer({ min: 0, max: 1000 }),
       });
-      const pair = fc
-        .array(word, { maxLength: 6 })
-        .chain((words) =>
+      const casesAndShuffled = fc
+        .array(poisonCase, { maxLength: 6 })
+        .chain((cases) =>
           fc.tuple(
-            fc.constant(words),
-            fc.shuffledSubarray([...words, ...words], { minLength: 2 * words.length }),
+            fc.constant(cases),
+            fc.shuffledSubarray([...cases, ...cases], { minLength: 2 * cases.length }),
           ),
         );
-      const collect = (words: readonly Pick<PoisonCase, 'ended' | 'changedAt'>[]) => {
-        const hearing = new PoisonRecord();
-        for (const { ended, changedAt } of words) {
-          hearing.receive({ request: 'q', ended, releases: ['v1'], changedAt }, 2000);
+      const collect = (cases: readonly Pick<PoisonCase, 'ended' | 'changedAt'>[]) => {
+        const receiver = new PoisonRecord();
+        for (const { ended, changedAt } of cases) {
+          receiver.receive({ request: 'q', ended, releases: ['v1'], changedAt }, 2000);
         }
-        return [...(hearing.findCase('q')?.ended ?? [])].sort();
+        return [...(receiver.findCase('q')?.ended ?? [])].sort();
       };
-      const check = fc.property(pair, ([words, mixed]) => {
-        expect(collect(mixed)).to.deep.equal(collect(words));
+      const check = fc.property(casesAndShuffled, ([cases, shuffled]) => {
+        expect(collect(shuffled)).to.deep.equal(collect(cases));
       });
       fc.assert(check, { seed: 27, numRuns: 300 });
     });
@@ -173,42 +178,50 @@
     ...{ method: 'POST', host: 'a.example', path: '/p?x=1', caller: '10.0.0.9' },
     ...{ body: Buffer.from('body'), bodyBytes: 4 },
   };
-  const list = (changes: Partial<RequestTraits> = {}) =>
+  const listFingerprints = (changes: Partial<RequestTraits> = {}) =>
     new RequestIdentity({ ...traits, ...changes }).fingerprints;
-  const name = (changes: Partial<RequestTraits> = {}) => list(changes)[0];
+  const getFingerprint = (changes: Partial<RequestTraits> = {}) => listFingerprints(changes)[0];
   it('is nothing but method, host, path with its parameters, caller and body', () => {
-    expect(name()).to.equal(name({ body: Buffer.from('body') }));
+    expect(getFingerprint()).to.equal(getFingerprint({ body: Buffer.from('body') }));
     const others = [
       ...[{ method: 'PUT' }, { host: 'b.example' }, { path: '/p?x=2' }, { caller: '10.0.0.8' }],
       ...[{ body: Buffer.from('bodY') }, { body: undefined, bodyBytes: 0 }],
       // What ends one part can't begin the next.
       { host: 'a.example/p', path: '?x=1' },
     ];
-    expect(new Set([name(), ...others.map(name)]).size).to.equal(others.length + 1);
+    expect(new Set([getFingerprint(), ...others.map(getFingerprint)]).size).to.equal(
+      others.length + 1,
+    );
   });
   it('is the length of a body that is not held', () => {
     const body = undefined;
-    expect(name({ body, bodyBytes: 9_000_000 })).to.equal(name({ body, bodyBytes: 9_000_000 }));
-    expect(name({ body, bodyBytes: 9_000_000 })).to.not.equal(name({ body, bodyBytes: 9_000_001 }));
+    expect(getFingerprint({ body, bodyBytes: 9_000_000 })).to.equal(
+      getFingerprint({ body, bodyBytes: 9_000_000 }),
+    );
+    expect(getFingerprint({ body, bodyBytes: 9_000_000 })).to.not.equal(
+      getFingerprint({ body, bodyBytes: 9_000_001 }),
+    );
   });
   it('may be less: any parameters, any caller; never another path or body', () => {
-    const [exact, anyParameters, anyCaller] = list();
-    expect(list({ path: '/p?y=2' }).slice(1)).to.deep.equal([anyParameters, anyCaller]);
-    expect(list({ caller: '10.0.0.8' })[2]).to.equal(anyCaller);
-    expect(list({ path: '/p' })).to.deep.equal([anyParameters, anyCaller]);
+    const [exact, anyParameters, anyCaller] = listFingerprints();
+    expect(listFingerprints({ path: '/p?y=2' }).slice(1)).to.deep.equal([anyParameters, anyCaller]);
+    expect(listFingerprints({ caller: '10.0.0.8' })[2]).to.equal(anyCaller);
+    expect(listFingerprints({ path: '/p' })).to.deep.equal([anyParameters, anyCaller]);
     const others = [
-      ...list({ path: '/q?x=1' }),
-      ...list({ body: undefined }),
-      ...list({ host: 'b' }),
+      ...listFingerprints({ path: '/q?x=1' }),
+      ...listFingerprints({ body: undefined }),
+      ...listFingerprints({ host: 'b' }),
     ];
     expect(others).to.not.include.members([exact]);
     expect(others).to.not.include.members([anyParameters]);
     expect(others).to.not.include.members([anyCaller]);
   });
   it('begins with what is known before the body', () => {
-    const { headDigests: heads, fingerprints: names } = new RequestIdentity(traits);
-    for (const [index, head] of heads.entries())
-      expect(names[index].startsWith(head)).to.equal(true);
-    expect(name({ body: Buffer.from('other') }).startsWith(heads[0])).to.equal(true);
+    const { headDigests, fingerprints } = new RequestIdentity(traits);
+    for (const [index, digest] of headDigests.entries())
+      expect(fingerprints[index].startsWith(digest)).to.equal(true);
+    expect(getFingerprint({ body: Buffer.from('other') }).startsWith(headDigests[0])).to.equal(
+      true,
+    );
   });
 });
--- a/test/shared-rate.test.ts
+++ b/test/shared-rate.test.ts
@@ -11,25 +11,25 @@
 const SECOND = 1000;
 
 /** The users' bound. */
-const SPAN = 4 * SECOND;
-const computeMost = (rate: number) => 1.5 * rate * 4 + 5;
+const SPAN_MS = 4 * SECOND;
+const computeMaxRequests = (rate: number) => 1.5 * rate * 4 + 5;
 
 /** Time between two steps of a history, in milliseconds. */
-const STEP = 25;
+const STEP_MS = 25;
 
 /** Opening a connection takes this long at most, in milliseconds. */
-const CONNECTING = 250;
+const MAX_CONNECT_MS = 250;
 
 /** A daemon works out what it stands for this often. */
-const SHARE_PACE = 100;
+const SHARE_INTERVAL_MS = 100;
 
-const ASK_PACE = 250;
-const ASKING = 1200;
-const INFORMANTS = 2;
+const QUERY_INTERVAL_MS = 250;
+const QUERY_LIFETIME_MS = 1200;
+const MAX_QUERIED_HOMES = 2;
 
-interface Question {
+interface Query {
   readonly at: number;
-  readonly among: number;
+  readonly queriedCount: number;
 }
 
 /**
@@ -45,12 +45,12 @@
 
   readonly #indexes: ReadonlyMap<string, number>;
 
-  readonly #askers: Map<number, Question>[];
+  readonly #queriers: Map<number, Query>[];
 
   #homes: readonly string[];
 
   /** Who is on the lesser side of a cut. */
-  #isApart: (daemon: number) => boolean = () => false;
+  #isOutside: (daemon: number) => boolean = () => false;
 
   #changeAt: number;
 
@@ -63,91 +63,93 @@
     this.#indexes = new Map(this.names.map((name, index) => [name, index] as const));
     this.#homes = this.names.slice(0, homes);
     this.#views = this.names.map((_, daemon) => this.#listHomes(daemon));
-    this.#askers = this.names.map(() => new Map<number, Question>());
+    this.#queriers = this.names.map(() => new Map<number, Query>());
     this.#changeAt = 5 * SECOND * random.next();
   }
 
   step(now: number): void {
-    if (now >= this.#changeAt) this.#change(now);
+    if (now >= this.#changeAt) this.#changeFleet(now);
     const due = this.#changes.filter(({ at }) => at <= now);
     if (due.length > 0) this.#changes = this.#changes.filter(({ at }) => at > now);
     for (const { daemon } of due) this.#views[daemon] = this.#listHomes(daemon);
     for (let daemon = 0; daemon < this.names.length; daemon += 1) {
-      if ((now + daemon * STEP) % ASK_PACE === 0) this.#ask(daemon, now);
+      if ((now + daemon * STEP_MS) % QUERY_INTERVAL_MS === 0) this.#sendQueries(daemon, now);
     }
   }
 
   readShare(daemon: number, now: number) {
     const homes = this.#views[daemon];
     const self = this.names[daemon];
-    const asked = this.#listAsked(daemon).length + 1;
-    let lookers = homes.includes(self) ? 1 / asked : 0;
-    for (const [asker, { at, among }] of this.#askers[daemon]) {
-      const isHome = homes.includes(this.names[asker]);
-      if (now - at < ASKING) lookers += 1 / (isHome ? among : Math.max(1, among - 1));
+    const queried = this.#listQueried(daemon).length + 1;
+    let reportingWeight = homes.includes(self) ? 1 / queried : 0;
+    for (const [querier, { at, queriedCount }] of this.#queriers[daemon]) {
+      const isHome = homes.includes(this.names[querier]);
+      if (now - at < QUERY_LIFETIME_MS)
+        reportingWeight += 1 / (isHome ? queriedCount : Math.max(1, queriedCount - 1));
     }
-    return { part: Math.min(1, lookers / this.names.length), homes, self };
+    return { part: Math.min(1, reportingWeight / this.names.length), homes, self };
   }
 
   /** One home is replaced, or a cut begins or ends. */
-  #change(now: number): void {
+  #changeFleet(now: number): void {
     const { random, names } = this;
     this.#changeAt = now + (2 + 4 * random.next()) * SECOND;
     if (random.next() < 0.3) {
-      const border = random.next() < 0.5 ? 0 : Math.floor(names.length * random.next() * 0.5);
-      this.#isApart = (daemon) => daemon < border;
+      const firstOutside = random.next() < 0.5 ? 0 : Math.floor(names.length * random.next() * 0.5);
+      this.#isOutside = (daemon) => daemon < firstOutside;
     } else {
       const next = names[Math.floor(random.next() * names.length)];
-      const gone = Math.floor(random.next() * this.#homes.length);
+      const removed = Math.floor(random.next() * this.#homes.length);
       if (this.#homes.includes(next)) return;
-      this.#homes = this.#homes.map((home, index) => (index === gone ? next : home));
+      this.#homes = this.#homes.map((home, index) => (index === removed ? next : home));
     }
-    const seen = names.map((_, daemon) => ({ daemon, at: now + SECOND * random.next() }));
-    this.#changes = [...this.#changes, ...seen];
+    const changes = names.map((_, daemon) => ({ daemon, at: now + SECOND * random.next() }));
+    this.#changes = [...this.#changes, ...changes];
   }
 
   #listHomes(daemon: number): readonly string[] {
-    const isNear = (name: string) => this.#isApart(this.#findIndex(name)) === this.#isApart(daemon);
+    const isReachable = (name: string) =>
+      this.#isOutside(this.#findIndex(name)) === this.#isOutside(daemon);
     const successors = this.names.filter((name) => !this.#homes.includes(name));
-    return [...this.#homes, ...successors].filter(isNear).slice(0, this.homes);
+    return [...this.#homes, ...successors].filter(isReachable).slice(0, this.homes);
   }
 
   #findIndex(name: string): number {
     return this.#indexes.get(name) ?? expect.fail(name);
   }
 
-  #listAsked(daemon: number): readonly string[] {
+  #listQueried(daemon: number): readonly string[] {
     const homes = this.#views[daemon];
     const self = this.names[daemon];
     if (homes.includes(self)) return homes.filter((name) => name !== self);
     const start = daemon % Math.max(1, homes.length);
-    return [...homes.slice(start), ...homes.slice(0, start)].slice(0, INFORMANTS);
+    return [...homes.slice(start), ...homes.slice(0, start)].slice(0, MAX_QUERIED_HOMES);
   }
 
-  #ask(daemon: number, now: number): void {
-    const asked = this.#listAsked(daemon);
-    for (const name of asked) {
+  #sendQueries(daemon: number, now: number): void {
+    const queried = this.#listQueried(daemon);
+    for (const name of queried) {
       const to = this.#findIndex(name);
-      if (this.#isApart(to) !== this.#isApart(daemon)) continue;
-      this.#askers[to].set(daemon, { at: now, among: asked.length + 1 });
+      if (this.#isOutside(to) !== this.#isOutside(daemon)) continue;
+      this.#queriers[to].set(daemon, { at: now, queriedCount: queried.length + 1 });
     }
   }
 }
 
 /** Counts the most arrivals in any span. */
-function countBusiest(arrivals: readonly number[]): number {
+function countMaxArrivals(arrivals: readonly number[]): number {
   const times = [...arrivals].sort((a, b) => a - b);
-  let most = 0;
+  let max = 0;
   let first = 0;
   for (const [index, at] of times.entries()) {
-    while (at - times[first] >= SPAN) first += 1;
-    most = Math.max(most, index - first + 1);
+    while (at - times[first] >= SPAN_MS) first += 1;
+    max = Math.max(max, index - first + 1);
   }
-  return most;
+  return max;
 }
 
 describe('a rate that daemons share', () => {
-  const TIME = 30 * SECOND;
+  const DURATION_MS = 30 * SECOND;
 
   for (const rate of [0.5, 1, 2.9, 4.6, 10]) {
     it(`of ${rate} a second holds in any four seconds, whoever takes whom for a home`, () => {
@@ -155,48 +157,50 @@
         const random = createSeededRandom(history);
         const homes = 1 + Math.floor(random.next() * 8);
         const fleet = new Fleet(random, 9 + Math.floor(random.next() * 30), homes);
-        const named = new AdvertisedRate();
-        named.observe({ rate, at: 0 }, 0, true);
-        const shared = named.read(0) ?? expect.fail('the rate is named');
-        const buckets = fleet.names.map(() => new RateLimiter());
+        const advertised = new AdvertisedRate();
+        advertised.observe({ rate, at: 0 }, 0, true);
+        const shared = advertised.read(0) ?? expect.fail('the rate is named');
+        const limiters = fleet.names.map(() => new RateLimiter());
         const arrivals: number[] = [];
         let rates: readonly number[] = [];
         let isPaused = false;
-        for (let now = 0; now < TIME; now += STEP) {
+        for (let now = 0; now < DURATION_MS; now += STEP_MS) {
           fleet.step(now);
-          if (now % SHARE_PACE === 0) {
-            rates = buckets.map((_, daemon) =>
+          if (now % SHARE_INTERVAL_MS === 0) {
+            rates = limiters.map((_, daemon) =>
               computeOwnRate(shared, fleet.readShare(daemon, now), 7),
             );
           }
           if (random.next() < 0.01) isPaused = !isPaused;
-          for (const [daemon, bucket] of buckets.entries()) {
-            if (!bucket.maySend(now, rates[daemon]) || isPaused) continue;
-            bucket.take();
-            arrivals.push(now + CONNECTING * random.next());
+          for (const [daemon, limiter] of limiters.entries()) {
+            if (!limiter.maySend(now, rates[daemon]) || isPaused) continue;
+            limiter.take();
+            arrivals.push(now + MAX_CONNECT_MS * random.next());
           }
         }
-        expect(countBusiest(arrivals), `history ${history}`).to.be.at.most(computeMost(rate));
+        expect(countMaxArrivals(arrivals), `history ${history}`).to.be.at.most(
+          computeMaxRequests(rate),
+        );
       }
     }).timeout(60_000);
 
     it(`of ${rate} a second is used while nothing changes`, () => {
-      const named = new AdvertisedRate();
-      named.observe({ rate, at: 0 }, 0, true);
-      const shared = named.read(0) ?? expect.fail('the rate is named');
+      const advertised = new AdvertisedRate();
+      advertised.observe({ rate, at: 0 }, 0, true);
+      const shared = advertised.read(0) ?? expect.fail('the rate is named');
       for (let homes = 1; homes <= 8; homes += 1) {
         // Until its first change, which comes after the time looked at.
         const fleet = new Fleet({ ...createSeededRandom(1), next: () => 1 }, 20, homes);
-        const buckets = fleet.names.map(() => new RateLimiter());
+        const limiters = fleet.names.map(() => new RateLimiter());
         let sent = 0;
-        for (let now = 0; now < 40 * SECOND; now += STEP) {
+        for (let now = 0; now < 40 * SECOND; now += STEP_MS) {
           if (now < 2 * SECOND) fleet.step(now);
           // Nobody forgets its askers, as all of them ask on.
           const at = Math.min(now, 2 * SECOND);
-          for (const [daemon, bucket] of buckets.entries()) {
-            if (!bucket.maySend(now, computeOwnRate(shared, fleet.readShare(daemon, at), 7)))
+          for (const [daemon, limiter] of limiters.entries()) {
+            if (!limiter.maySend(now, computeOwnRate(shared, fleet.readShare(daemon, at), 7)))
               continue;
-            bucket.take();
+            limiter.take();
             sent += 1;
           }
         }
@@ -208,45 +212,45 @@
 
 describe('the word of a target on its rate', () => {
   it('is the newest by when the target said it, whoever tells of it', () => {
-    const named = new AdvertisedRate();
-    expect(named.observe({ rate: 3, at: 1000 }, 1000, true)).to.deep.equal({
+    const advertised = new AdvertisedRate();
+    expect(advertised.observe({ rate: 3, at: 1000 }, 1000, true)).to.deep.equal({
       ...{ before: undefined, rate: 3 },
     });
     // Another daemon's word that is older, and an answer whose call was sent before.
-    expect(named.observe({ rate: 8, at: 900 }, 1100, false)).to.equal(undefined);
-    expect(named.observe({ rate: undefined, at: 950 }, 1200, true)).to.equal(undefined);
-    expect(named.read(1200)?.rate).to.equal(3);
-    expect(named.observe({ rate: 5, at: 1300 }, 1400, false)?.rate).to.equal(5);
-    expect(named.read(1400)?.rate).to.equal(5);
+    expect(advertised.observe({ rate: 8, at: 900 }, 1100, false)).to.equal(undefined);
+    expect(advertised.observe({ rate: undefined, at: 950 }, 1200, true)).to.equal(undefined);
+    expect(advertised.read(1200)?.rate).to.equal(3);
+    expect(advertised.observe({ rate: 5, at: 1300 }, 1400, false)?.rate).to.equal(5);
+    expect(advertised.read(1400)?.rate).to.equal(5);
   });
 
   it('that ends lets what it gets rise over two seconds', () => {
-    const named = new AdvertisedRate();
-    named.observe({ rate: 2, at: 0 }, 0, true);
-    named.observe({ rate: undefined, at: 900 }, 1000, true);
-    const rates = [1000, 1200, 1400, 2000, 2999].map((now) => named.read(now)?.rate);
+    const advertised = new AdvertisedRate();
+    advertised.observe({ rate: 2, at: 0 }, 0, true);
+    advertised.observe({ rate: undefined, at: 900 }, 1000, true);
+    const rates = [1000, 1200, 1400, 2000, 2999].map((now) => advertised.read(now)?.rate);
     expect(rates.slice(0, 3)).to.deep.equal([2, 4, 8]);
     expect(rates[3]).to.be.within(60, 70);
-    expect(named.read(3000)).to.equal(undefined);
+    expect(advertised.read(3000)).to.equal(undefined);
   });
 
   it('of nothing at all leaves one request in four seconds, at one home', () => {
-    const named = new AdvertisedRate();
-    named.observe({ rate: 0, at: 0 }, 0, true);
-    expect(named.read(10)).to.deep.equal({ rate: 0.25, sharers: 1 });
+    const advertised = new AdvertisedRate();
+    advertised.observe({ rate: 0, at: 0 }, 0, true);
+    expect(advertised.read(10)).to.deep.equal({ rate: 0.25, maxSenders: 1 });
   });
 
   it('is told on by whoever heard it from the target, and for a while after its end', () => {
-    const named = new AdvertisedRate();
-    expect(named.readAnnouncement(0)).to.equal(undefined);
-    named.observe({ rate: 3, at: 10 }, 10, false);
-    expect(named.readAnnouncement(10)).to.equal(undefined);
-    named.observe({ rate: 3, at: 20 }, 20, true);
-    named.observe({ rate: 3, at: 25 }, 30, false);
-    expect(named.readAnnouncement(30)?.rate).to.equal(3);
-    named.observe({ rate: undefined, at: 40 }, 50, true);
-    expect(named.readAnnouncement(60)).to.deep.equal({ rate: undefined, at: 40 });
-    expect(named.readAnnouncement(2050)).to.equal(undefined);
+    const advertised = new AdvertisedRate();
+    expect(advertised.readAnnouncement(0)).to.equal(undefined);
+    advertised.observe({ rate: 3, at: 10 }, 10, false);
+    expect(advertised.readAnnouncement(10)).to.equal(undefined);
+    advertised.observe({ rate: 3, at: 20 }, 20, true);
+    advertised.observe({ rate: 3, at: 25 }, 30, false);
+    expect(advertised.readAnnouncement(30)?.rate).to.equal(3);
+    advertised.observe({ rate: undefined, at: 40 }, 50, true);
+    expect(advertised.readAnnouncement(60)).to.deep.equal({ rate: undefined, at: 40 });
+    expect(advertised.readAnnouncement(2050)).to.equal(undefined);
   });
 
   it('is a plain decimal number', () => {
@@ -264,16 +268,16 @@
   });
 
   it('travels between daemons, beside shares that name none', () => {
-    const share = { target: 1, inFlight: 2, slowdown: 1, age: 3 };
-    const shares = [
-      share,
-      { ...share, target: 2, advertisedRate: { rate: 3.9, age: 40 } },
-      { ...share, target: 3, advertisedRate: { rate: undefined, age: 0 } },
+    const loadReport = { target: 1, inFlight: 2, slowdown: 1, age: 3 };
+    const loadReports = [
+      loadReport,
+      { ...loadReport, target: 2, advertisedRate: { rate: 3.9, age: 40 } },
+      { ...loadReport, target: 3, advertisedRate: { rate: undefined, age: 0 } },
     ];
-    expect(decodeDatagram(encodeDatagram({ kind: 'load', loadReports: shares }))).to.deep.equal({
-      ...{ kind: 'load', loadReports: shares },
+    expect(decodeDatagram(encodeDatagram({ kind: 'load', loadReports }))).to.deep.equal({
+      ...{ kind: 'load', loadReports },
     });
-    const bad = { ...share, advertisedRate: { rate: -1, age: 0 } };
+    const bad = { ...loadReport, advertisedRate: { rate: -1, age: 0 } };
     expect(decodeDatagram(encodeDatagram({ kind: 'load', loadReports: [bad] }))).to.equal(
       undefined,
     );
--- a/test/speed.test.ts
+++ b/test/speed.test.ts
@@ -20,64 +20,64 @@
 }
 
 describe('how long a slowdown lasts', () => {
-  const learn = (life: number, pace: number) => {
-    const memory = new SlowdownModel();
+  const learnParameters = (life: number, interval: number) => {
+    const model = new SlowdownModel();
     const targets = Array.from({ length: 24 }, (_, index) => ({
       readSpeed: drawSpeeds(life, { seed: index + 1 }),
-      trail: new SlowdownHistory(memory),
+      history: new SlowdownHistory(model),
     }));
-    for (let at = 0; at < 12_000; at += pace) {
-      for (const [index, { readSpeed, trail }] of targets.entries()) {
+    for (let at = 0; at < 12_000; at += interval) {
+      for (const [index, { readSpeed, history }] of targets.entries()) {
         const reportedAt = at + index;
-        trail.record(1 / readSpeed(reportedAt), reportedAt);
-        memory.record(1 / readSpeed(reportedAt), reportedAt);
+        history.record(1 / readSpeed(reportedAt), reportedAt);
+        model.record(1 / readSpeed(reportedAt), reportedAt);
       }
     }
-    return memory.read(12_000);
+    return model.read(12_000);
   };
-  for (const [life, least, most] of [
+  for (const [life, min, max] of [
     [150, 110, 200],
     [500, 360, 670],
     [1500, 900, 2400],
   ] as const) {
     it(`is read from reports every 100 ms: ${life} ms`, () => {
-      const pattern = learn(life, 100);
-      expect(pattern.life).to.be.within(least, most);
-      expect(pattern.mean).to.be.within(1.3, 2.7);
-      expect(pattern.slow).to.be.closeTo(5, 0.01);
+      const parameters = learnParameters(life, 100);
+      expect(parameters.life).to.be.within(min, max);
+      expect(parameters.mean).to.be.within(1.3, 2.7);
+      expect(parameters.slow).to.be.closeTo(5, 0.01);
     });
   }
   it('is what is usual until enough has been seen, and where nothing changes', () => {
-    const memory = new SlowdownModel();
-    expect(memory.read(0).life).to.equal(500);
-    const trail = new SlowdownHistory(memory);
-    for (let at = 0; at < 9000; at += 50) trail.record(1, at);
-    expect(memory.read(9000).life).to.equal(500);
+    const model = new SlowdownModel();
+    expect(model.read(0).life).to.equal(500);
+    const history = new SlowdownHistory(model);
+    for (let at = 0; at < 9000; at += 50) history.record(1, at);
+    expect(model.read(9000).life).to.equal(500);
   });
 });
 
 describe('how slow a target was at a moment', () => {
-  const pattern = { mean: 2, slow: 5, life: 150 };
-  const makeTrail = (...reports: readonly (readonly [number, number])[]) => {
-    const trail = new SlowdownHistory(new SlowdownModel());
-    for (const [at, slowdown] of reports) trail.record(slowdown, at);
-    return trail;
+  const parameters = { mean: 2, slow: 5, life: 150 };
+  const makeHistory = (...reports: readonly (readonly [number, number])[]) => {
+    const history = new SlowdownHistory(new SlowdownModel());
+    for (const [at, slowdown] of reports) history.record(slowdown, at);
+    return history;
   };
   it('is told by the report before it, the less the older that is', () => {
-    const trail = makeTrail([1000, 5]);
-    expect(trail.estimate(1000, pattern)).to.equal(5);
-    expect(trail.estimate(1075, pattern)).to.equal(3.5);
-    expect(trail.estimate(1150, pattern)).to.equal(2);
-    expect(trail.estimate(900, pattern)).to.equal(5 / 3 + 2 * (2 / 3));
+    const history = makeHistory([1000, 5]);
+    expect(history.estimate(1000, parameters)).to.equal(5);
+    expect(history.estimate(1075, parameters)).to.equal(3.5);
+    expect(history.estimate(1150, parameters)).to.equal(2);
+    expect(history.estimate(900, parameters)).to.equal(5 / 3 + 2 * (2 / 3));
   });
   it('is told by the reports around it, and not by later ones', () => {
-    const trail = makeTrail([1000, 1], [1100, 1], [1200, 1], [1300, 5], [1400, 5]);
-    expect(trail.estimate(1050, pattern)).to.equal(1);
-    expect(trail.estimate(1250, pattern)).to.be.closeTo(3, 1e-9);
+    const history = makeHistory([1000, 1], [1100, 1], [1200, 1], [1300, 5], [1400, 5]);
+    expect(history.estimate(1050, parameters)).to.equal(1);
+    expect(history.estimate(1250, parameters)).to.be.closeTo(3, 1e-9);
   });
   it('is the mean where nobody reported', () => {
-    expect(makeTrail().estimate(10, pattern)).to.equal(2);
-    expect(makeTrail([1000, 5], [1000, 1]).estimate(1000, pattern)).to.equal(5);
+    expect(makeHistory().estimate(10, parameters)).to.equal(2);
+    expect(makeHistory([1000, 5], [1000, 1]).estimate(1000, parameters)).to.equal(5);
   });
 });
 
@@ -106,8 +106,8 @@
 });
 
 describe('why an answer was late', () => {
-  const times = { aimLeft: 500, waited: 0, held: 900, attempts: 1 };
-  for (const [changes, why] of [
+  const timings = { aimLeft: 500, waited: 0, held: 900, attempts: 1 };
+  for (const [changes, cause] of [
     [{ held: 500 }, 'in-time'],
     [{ aimLeft: -30 }, 'came-late'],
     [{ aimLeft: 150 }, 'came-late'],
@@ -115,8 +115,8 @@
     [{ attempts: 2 }, 'second-attempt'],
     [{}, 'slow-target'],
   ] as const) {
-    it(`${JSON.stringify(changes)}: ${why}`, () => {
-      expect(findLatenessCause({ ...times, ...changes }, 200)).to.equal(why);
+    it(`${JSON.stringify(changes)}: ${cause}`, () => {
+      expect(findLatenessCause({ ...timings, ...changes }, 200)).to.equal(cause);
     });
   }
 });
