--- a/src/balance/advertised-rate.ts
+++ b/src/balance/advertised-rate.ts
@@ -1,39 +1,39 @@
 /**
- * The rate that a target has said it takes, of all daemons together.
+ * The rate that a target announces for all daemons together.
  *
- * The newest word holds, by when the target said it. When it names a rate no more, what it gets rises from that rate on,
- * doubling every fraction of a second: what is sent elsewhere meanwhile does not come back all at once.
+ * The latest announcement applies, by the time at which the target made it. When a target stops
+ * announcing a rate, the rate ramps up from the last one and doubles every fraction of a second, so
+ * that the traffic sent elsewhere in the meantime does not return all at once.
  */
 import { computeRampRate } from './rate-ramp.js';
 import { MAX_SENDERS, type SharedRate } from './shared-rate.js';
 
-/** A word of a target on its rate. */
+/** A target's announcement of its rate. */
 export interface RateAnnouncement {
-  /** Requests a second; undefined when it takes any number. */
+  /** Requests a second; undefined if the target takes any number. */
   readonly rate: number | undefined;
-  /** When the target said so, in milliseconds on this daemon's clock. */
+  /** When the target announced it, in milliseconds on this daemon's clock. */
   readonly at: number;
 }
 
-/** What a newer word has changed. */
+/** A change of the announced rate. */
 export interface RateChange {
   readonly before: number | undefined;
   readonly rate: number | undefined;
 }
 
 /**
- * Requests a second that a target gets whatever it names. One that takes none at all, or one in many seconds, would
- * otherwise have nothing to answer when it takes more again.
+ * Requests a second that a target gets even if it announces less. A target without any requests, or
+ * with one in many seconds, would have no answer on which to announce that it takes more again.
  */
 const MIN_RATE = 0.25;
 
-/** Once a target names no rate any more, what it gets doubles in this time, in milliseconds. */
+/** Doubling time of the ramp-up once a target announces no rate any more. */
 const DOUBLING_MS = 200;
 
-/** After this long it gets what it would have got without one. */
 const RAMP_MS = 2000;
 
-/** The newest word of one target. */
+/** The latest announcement of one target. */
 export class AdvertisedRate {
   #announcement: RateAnnouncement = { rate: undefined, at: -Infinity };
 
@@ -41,16 +41,16 @@
 
   #ended: { readonly rate: number; readonly receivedAt: number } | undefined;
 
-  /** Whether the target takes no more than it says. */
+  /** Whether the target has announced a rate. */
   get isLimited(): boolean {
     return this.#announcement.rate !== undefined;
   }
 
   /**
-   * Takes a word unless a newer one is known; returns what it has changed.
+   * Records an announcement unless a newer one is known; returns the change, if any.
    *
-   * @param now when it is heard
-   * @param isDirect whether from the target itself
+   * @param now when it is received
+   * @param isDirect whether the target itself sent it
    */
   observe(announcement: RateAnnouncement, now: number, isDirect: boolean): RateChange | undefined {
     if (announcement.at <= this.#announcement.at) return undefined;
@@ -64,7 +64,7 @@
     return { before, rate: announcement.rate };
   }
 
-  /** Reads the rate that all daemons keep to now; undefined when none. */
+  /** Returns the rate that all daemons keep to now; undefined if there is none. */
   read(now: number): SharedRate | undefined {
     const { rate } = this.#announcement;
     if (rate !== undefined) return computeSharedRate(rate);
@@ -77,14 +77,17 @@
     return undefined;
   }
 
-  /** The word to tell others: heard from the target itself, and that it takes less than it could or did so of late. */
+  /**
+   * Returns the announcement to pass on: received from the target itself, and limiting it now or
+   * recently.
+   */
   readAnnouncement(now: number): RateAnnouncement | undefined {
     if (!this.#isDirect) return undefined;
     return this.read(now) === undefined ? undefined : this.#announcement;
   }
 }
 
-/** Of a small rate fewer homes have a part, so that none of them has to save up for long. */
+/** Divides a small rate among fewer homes, so that none of them has to save up for long. */
 function computeSharedRate(announcedRate: number): SharedRate {
   const rate = Math.max(MIN_RATE, announcedRate);
   return { rate, maxSenders: Math.min(MAX_SENDERS, Math.ceil(rate)) };
--- a/src/balance/budget.ts
+++ b/src/balance/budget.ts
@@ -1,8 +1,8 @@
-/** Budgets that grow with the calls, so that extra work stays a fixed share of them. */
+/** A budget that grows with the calls, so that extra attempts stay a fixed share of them. */
 
 const MAX_TOKENS = 10;
 
-/** Lets extra attempts through at a share of the first attempts. */
+/** Allows extra attempts as a share of the first attempts. */
 export class ShareBudget {
   #tokens = MAX_TOKENS / 2;
 
@@ -10,22 +10,22 @@
 
   #earned = MAX_TOKENS / 2;
 
-  /** @param percent extra attempts allowed for each hundred first attempts */
+  /** @param percent extra attempts allowed per hundred first attempts */
   constructor(private readonly percent: number) {}
 
-  /** Extra attempts let through since the start. */
+  /** Extra attempts allowed since the start. */
   get spent(): number {
     return this.#spent;
   }
 
-  /** Earns for one first attempt. */
+  /** Adds the share that one first attempt earns. */
   earn(): void {
     const amount = this.percent / 100;
     this.#earned += amount;
     this.#tokens = Math.min(MAX_TOKENS, this.#tokens + amount);
   }
 
-  /** Takes one extra attempt if the budget allows it. */
+  /** Takes one extra attempt; false if the budget does not allow it. */
   spend(): boolean {
     if (this.percent === 0 || this.#tokens < 1) return false;
     this.#tokens -= 1;
@@ -33,7 +33,7 @@
     return true;
   }
 
-  /** Whether no more was ever spent than earned. */
+  /** Whether no more was spent than earned since the start. */
   isSound(): boolean {
     return this.#spent <= this.#earned;
   }
--- a/src/balance/candidates.ts
+++ b/src/balance/candidates.ts
@@ -1,23 +1,25 @@
 /**
- * Chooses which targets a call looks at, where there are hundreds.
+ * Samples the targets that are compared for a call when a service has hundreds.
  *
- * The pattern answered: a service of hundreds of targets, a quarter of which work several times as long, and
- * some hundred calls a second at one home. Looking at all of them each time a call asks for a place takes a good
- * part of the processor. The best of some dozens drawn at random is as quick: with 64 drawn, a tenth of which are
- * quick and free, nearly always one of those is among them. And homes that draw for themselves do not all send to
- * the same target. Most are drawn from this daemon's own failure domain, as reports from there are its own and
- * bytes to other domains are paid for.
+ * Comparing all targets for each call takes a large part of the processor where a service has
+ * hundreds of targets, a quarter of them several times slower, and one home has about a hundred
+ * calls a second. The best of some dozens drawn at random is as fast: among 64 drawn targets there
+ * is nearly always a fast and free one, even if only a tenth are. Homes that draw independently
+ * also don't all send to the same target. Most targets are drawn from this daemon's own failure
+ * domain, because reports from there are its own and traffic to other domains is paid for.
  */
 import type { Random } from '../kernel/index.js';
 
-/** Up to this many targets all are looked at: pooling of few slots is worth more than the time. */
+/** Up to this many targets are all compared: with few slots, pooling them is worth the time. */
 export const MAX_CANDIDATES = 64;
 
-/** Targets drawn from where there are more: of the own failure domain, and of the others. */
+/** Sample sizes of a larger service: from the own failure domain, and from the others. */
 const SAME_DOMAIN_SAMPLE = 40;
 const OTHER_DOMAINS_SAMPLE = 24;
 
-/** Takes up to `count` usable items that stand together from a random place on, going round. */
+/**
+ * Yields up to `count` usable items: consecutive ones from a random position on, wrapping around.
+ */
 function* drawRange<T>(
   items: readonly T[],
   count: number,
@@ -33,21 +35,21 @@
   }
 }
 
-/** What drawing depends on. */
+/** Options of {@link drawCandidates}. */
 export interface DrawOptions<T> {
   readonly random: Random;
-  /** Whether the call may go there. */
+  /** Whether the call may go to the target. */
   readonly isUsable: (candidate: T) => boolean;
 }
 
-/** The targets of a service, in an order that says nothing of them. */
+/** The targets of a service, in an order that does not depend on their state. */
 export interface CandidatePool<T> {
-  /** Those in the failure domain of this daemon. */
+  /** Targets in the failure domain of this daemon. */
   readonly sameDomain: readonly T[];
   readonly otherDomains: readonly T[];
 }
 
-/** Draws the targets that a call looks at; all of them where they are few. */
+/** Draws the targets that are compared for a call; all of them up to {@link MAX_CANDIDATES}. */
 export function drawCandidates<T>(
   { sameDomain, otherDomains }: CandidatePool<T>,
   options: DrawOptions<T>,
--- a/src/balance/cold-limit.ts
+++ b/src/balance/cold-limit.ts
@@ -1,23 +1,26 @@
-/** How warm a target is, and the rate that a cold one bears from all daemons together. */
+/** Warm-up of targets: whether one is cold, and the rate that all daemons together may send it. */
 import { MAX_SENDERS, type SharedRate } from './shared-rate.js';
 
-/** What a cold target bears. */
+/** Rate limits of a cold target. */
 export interface ColdLimits {
-  /** Requests a second that one bears, of all daemons together; Infinity where its service does not say. */
+  /** Requests a second from all daemons together; Infinity where the service sets no limit. */
   readonly rate: number;
-  /** Most requests in any second, as a multiple of the rate. */
+  /** Maximum requests in any second, as a multiple of the rate. */
   readonly overshoot: number;
-  /** Requests in a second besides. */
+  /** Requests allowed in a second on top of that. */
   readonly slack: number;
 }
 
-/** Times that somebody who has just turned to another daemon is counted. */
+/** A daemon that has just changed homes is counted by the old and by the new one. */
 const MAX_TIMES_COUNTED = 2;
 
-/** What is sent within this time, in seconds, may arrive within one: opening a connection takes a quarter of one. */
+/**
+ * Requests sent within this many seconds may arrive within one: opening a connection takes up to a
+ * quarter of a second.
+ */
 const ARRIVAL_SPREAD_SECONDS = 1.25;
 
-/** The part of the most requests in a second that homes may have saved up. */
+/** Share of the maximum requests in a second that homes may have saved up. */
 const MAX_SAVED_SHARE = 0.25;
 
 /** Computes the rate that all daemons share at a cold target; undefined where nothing limits it. */
@@ -30,23 +33,22 @@
   return { rate: Math.min(rate, safeRate), maxSenders };
 }
 
-/** Calls count as sent of late for this long, in milliseconds. */
+/** How long a sent call counts as recent, in milliseconds. */
 const RECENT_MS = 1250;
 
-/** Calls remembered. */
 const MAX_REMEMBERED_CALLS = 64;
 
-/** Counts the calls sent to one target of late. */
+/** Counts the calls recently sent to one target. */
 export class SendCounter {
   #sentAt: readonly number[] = [];
 
-  /** Counts a call that is sent. */
+  /** Records a call that is sent. */
   record(now: number): void {
     const recent = this.#sentAt.filter((at) => now - at < RECENT_MS);
     this.#sentAt = [...recent, now].slice(-MAX_REMEMBERED_CALLS);
   }
 
-  /** Calls sent of late. */
+  /** Returns the number of calls sent recently. */
   count(now: number): number {
     let count = 0;
     for (const at of this.#sentAt) if (now - at < RECENT_MS) count += 1;
@@ -54,28 +56,39 @@
   }
 }
 
-/** How long what is known of a target's warmth holds, in milliseconds on this daemon's clock. */
+/**
+ * Whether a target is cold, as far as its reports tell. Times are in milliseconds on this daemon's
+ * clock.
+ */
 export class WarmUpState {
   #coldUntil = -Infinity;
 
   #reportedAt = -Infinity;
 
-  /** When the target itself last said how warm it is. */
+  /** When the target itself last reported its warm-up; -Infinity before it has. */
   get reportedAt(): number {
     return this.#reportedAt;
   }
 
-  /** Whether it is to be taken for cold. */
+  /** Whether the target is treated as cold. */
   isCold(now: number): boolean {
     return now < this.#coldUntil;
   }
 
-  /** Takes it that the target may be cold until then: from an entry that may be older than its own word. */
+  /**
+   * Treats the target as cold at least until then, because of a stored record that may be older
+   * than the target's own report.
+   */
   suspectCold(until: number): void {
     this.#coldUntil = Math.max(this.#coldUntil, until);
   }
 
-  /** Takes the target's own word of a moment; a later one replaces it. @param left for how long it is still cold */
+  /**
+   * Takes a report of the target itself; false if it is not newer than the last one.
+   *
+   * @param left how long the target is still cold
+   * @param at when the target reported it
+   */
   observe(left: number, at: number): boolean {
     if (at <= this.#reportedAt) return false;
     this.#reportedAt = at;
--- a/src/balance/estimate.ts
+++ b/src/balance/estimate.ts
@@ -1,12 +1,14 @@
-/** Running estimates that cost a few numbers each. */
+/** Running estimates with constant memory. */
 
-/** An exponentially weighted mean whose weight follows the time between samples. */
+/**
+ * An exponentially weighted mean; the weight of a sample depends on the time since the last one.
+ */
 export class DecayingMean {
   #value: number | undefined;
 
   #updatedAt = 0;
 
-  /** @param halfLife time after which an old sample counts half, in milliseconds */
+  /** @param halfLife age at which a sample has half its weight, in milliseconds */
   constructor(private readonly halfLife: number) {}
 
   /** Adds a sample taken at time `now`. */
@@ -14,11 +16,11 @@
     if (this.#value === undefined) {
       this.#value = sample;
     } else {
-      const keep = Math.max(
+      const weight = Math.max(
         MIN_SAMPLE_WEIGHT,
         1 - 0.5 ** ((now - this.#updatedAt) / this.halfLife),
       );
-      this.#value += (sample - this.#value) * keep;
+      this.#value += (sample - this.#value) * weight;
     }
     this.#updatedAt = now;
   }
@@ -31,11 +33,11 @@
 
 const MIN_SAMPLE_WEIGHT = 0.05;
 
-/** Follows one quantile of a stream by small steps up and down, with constant memory. */
+/** Estimates one quantile of a stream by small steps up and down. */
 export class QuantileEstimate {
   #value: number | undefined;
 
-  /** @param quantile the quantile to follow, between 0 and 1 */
+  /** @param quantile the quantile to estimate, between 0 and 1 */
   constructor(private readonly quantile: number) {}
 
   /** Adds a sample. */
@@ -57,7 +59,7 @@
 
 const RELATIVE_STEP = 0.05;
 
-/** Counts events and gives their rate over the recent past. */
+/** Counts events and computes their rate over the last full window. */
 export class RateMeter {
   #count = 0;
 
@@ -75,7 +77,7 @@
     this.#count += amount;
   }
 
-  /** Returns events a second. */
+  /** Returns the events per second. */
   read(now: number): number {
     this.#rollWindow(now);
     return this.#rate;
--- a/src/balance/expected-time.ts
+++ b/src/balance/expected-time.ts
@@ -1,113 +1,128 @@
-/** Chooses the target at which one more call is expected to end first. */
+/** Chooses the target at which one more call is expected to finish first. */
 import type { Random } from '../kernel/index.js';
 
-/** What the choice looks at; one value for each target. */
+/** The load and the state of one target, as far as the choice depends on them. */
 export interface CandidateLoad {
+  /** Calls that the target runs at once. */
   readonly slots: number;
-  /** Calls there now, running and waiting, of all daemons. */
+  /** Calls at the target now, running and waiting, from all daemons. */
   readonly calls: number;
-  /** How long work takes there now, as a multiple of the usual. */
+  /** How long work takes there now, as a multiple of the usual time. */
   readonly slowdown: number;
-  /** How much slower it is because it has just started; 1 when it has not. */
+  /** Factor by which the target is slower because it has just started; 1 once it is warm. */
   readonly coldFactor: number;
-  /** Failures for each success of late. */
+  /** Recent failures per success. */
   readonly failureRatio: number;
-  /** Whether its last health check failed, or calls have been stuck there. */
+  /** Whether the last health check failed or calls have been stuck there. */
   readonly isSuspect: boolean;
   /** Whether the target is in another failure domain than this daemon. */
   readonly isOtherDomain: boolean;
 }
 
-/** A full target is slower even before calls wait there. */
+/**
+ * Extra time at a target whose slots are all busy, before calls wait there: it is already slower.
+ */
 const CROWDING = 0.35;
 
 /**
- * As many failures as successes keep calls away as much as a target that works this many times longer besides, as
- * long as another one is free: a failure takes of the budget for repeats, or is the caller's.
+ * Weight of failures in the choice between free targets: with as many failures as successes, the
+ * cost of a target grows by this many times its duration. A failure uses up the retry budget or
+ * reaches the caller.
  */
 const FAILURE_WEIGHT = 3;
 
 const SUSPECT_FACTOR = 3;
 
-/** Weight of the way to another failure domain: bytes between domains are paid for. */
+/** Cost factor of another failure domain: traffic between domains is paid for. */
 const OTHER_DOMAIN_FACTOR = 1.12;
 
-/** A body of this many bytes makes a far target as dear as one that takes twice as long. */
+/** Body size in bytes at which another failure domain costs as much as working twice as long. */
 const OTHER_DOMAIN_DOUBLING_BYTES = 60_000;
 
-/** Costs this close are alike; without noise all daemons would choose the same target. */
+/** Costs this close are equal; without noise all daemons would choose the same target. */
 const NOISE = 0.06;
 
-/** Estimates the time of one more call, as a multiple of a call's time at an idle, usual target. */
+/**
+ * Estimates the time of one more call, in multiples of its time at an idle target of usual speed.
+ */
 export function estimateTime(load: CandidateLoad): number {
   const { slots, calls, slowdown, coldFactor, failureRatio } = load;
   const busy = Math.min(1, calls / slots);
   const queueing = Math.max(0, calls - slots + 1) / slots;
-  // For each success there are as many tries more as there were failures.
+  // A call needs one extra attempt per failure, so `failureRatio` extra ones per success.
   return slowdown * coldFactor * (1 + CROWDING * busy * busy + queueing) * (1 + failureRatio);
 }
 
-/** What going to a target costs against waiting for another one: the time, and what counts besides. */
+/**
+ * Computes the cost of a target compared with waiting for another: the time, weighted by health and
+ * domain.
+ */
 function computeDelayCost(load: CandidateLoad): number {
   const suspectFactor = load.isSuspect ? SUSPECT_FACTOR : 1;
   return estimateTime(load) * suspectFactor * (load.isOtherDomain ? OTHER_DOMAIN_FACTOR : 1);
 }
 
-/** The cost of a target against others that are free. */
+/** Computes the cost of a target compared with other free ones. */
 export function computeCost(load: CandidateLoad): number {
   const { failureRatio } = load;
   return (computeDelayCost(load) * (1 + FAILURE_WEIGHT * failureRatio)) / (1 + failureRatio);
 }
 
-/** What is best for a call that asks for a target. */
+/** The decision for a call that asks for a target. */
 export type TargetChoice<T> =
   | { readonly kind: 'now'; readonly candidate: T; readonly load: CandidateLoad }
-  /** Every target that is free is slower than waiting for one that is not. */
+  /** Every free target is slower than waiting for a busy one. */
   | {
       readonly kind: 'wait';
-      /** Time between two starts while all targets are busy, as a multiple of a call's usual time. */
+      /** Time between two starts while all targets are busy, in multiples of the usual time. */
       readonly pace: number;
-      /** The slowdown of all targets on the whole. */
+      /** Slowdown of all targets together: their slots divided by their combined speed. */
       readonly slowdown: number;
-      /** Why targets that have slots take no more for now; undefined where none does so. */
+      /** Why targets with free slots take no calls for now; undefined if none refuses them. */
       readonly limit?: LimitReason;
-      /** Time until the first of them takes calls again, in milliseconds; 0 unless given. */
+      /** Time until the first target takes calls again, in milliseconds; 0 if undefined. */
       readonly opensIn?: number;
     }
-  /** `wait` is the time after which the first target takes calls again, in milliseconds; undefined when unknown. */
+  /**
+   * `wait` is the time until the first target takes calls again, in milliseconds; undefined if
+   * unknown.
+   */
   | { readonly kind: 'none'; readonly wait?: number };
 
-/** Why targets with free slots take no calls from this daemon for now: they have had their rate, or asked for a back-off. */
+/**
+ * Why targets with free slots take no calls from this daemon for now: their rate is used up, or
+ * they asked for a back-off.
+ */
 export type LimitReason = 'rate-limit' | 'backoff';
 
-/** What an advice depends on besides the targets. */
+/** What the choice depends on besides the targets. */
 export interface ChoiceTerms {
+  /** Calls that wait already and go first. */
   readonly callsAhead: number;
-  /** Length of the call's body in bytes; it crosses to a target in another failure domain. */
+  /** Length of the call's body in bytes, which makes targets in other failure domains cost more. */
   readonly bodyBytes: number;
+  /** Calls of all daemons at the targets per call of this daemon. */
   readonly callRatio: number;
-  /** How many targets stand behind each candidate; 1 where all of them are looked at. */
+  /** Number of targets that each candidate represents; 1 when all targets are compared. */
   readonly targetsPerCandidate: number;
   readonly random: Random;
 }
 
-/** What an idle slot of the target would cost a call that waits for it. */
+/** Computes the cost of an idle slot of the target for a call that waits for it. */
 function computeIdleCost(load: CandidateLoad): number {
   return computeDelayCost({ ...load, calls: 0 });
 }
 
 /**
- * Advises a call: the cheapest target with a free slot, or to wait for a better one.
- *
- * Work that waits here can still go to whichever target is quick when its turn comes; work that
- * waits at a target that has turned slow is lost. Times are multiples of a call's usual time.
+ * Chooses the cheapest target with a free slot, or decides that the call waits for a better one.
  *
- * The way of a body decides between targets that are free, and never makes a call wait. Failures of late do so for no
- * more than the tries that they cost: when a service's targets have failed for some seconds, calls that waited for the
- * few that had not were seconds late while the others were well again and idle.
+ * A call that waits here can still go to whichever target is fast when its turn comes; a call that
+ * waits at a target that has become slow can't be moved. Times are multiples of a call's usual
+ * time.
  *
- * @param terms.ahead calls that wait already and go first
- * @param terms.sharers how many times this daemon's calls all daemons have at the targets
+ * The body size only decides between free targets and never makes a call wait. Recent failures make
+ * a call wait only for as long as the extra attempts would take: a higher weight delayed calls by
+ * seconds for the few targets without failures, while the others had recovered and were idle.
  */
 export function chooseTarget<T>(
   candidates: readonly T[],
@@ -142,7 +157,7 @@
   }
   if (slotsPerTime === 0) return { kind: 'none' };
   const pace = Math.max(1, callRatio) / (slotsPerTime * targetsPerCandidate);
-  // Whoever waits while some are free waits for those that are full.
+  // A call that waits although some targets are free waits for one of the busy ones.
   const wait =
     ((callsAhead + 1) * Math.max(1, callRatio)) / (busySlotsPerTime * targetsPerCandidate);
   if (best !== undefined && bestTime <= wait + bestBusyCost) return { kind: 'now', ...best };
--- a/src/balance/failure-rate.ts
+++ b/src/balance/failure-rate.ts
@@ -1,19 +1,23 @@
 /**
- * How much a target fails, from the calls of one daemon: failures of late against successes of late.
+ * How often a target fails, from the calls of one daemon: recent failures per recent success.
  *
- * The pattern answered: grey targets. Their health check is good, and they reject or fail half of their calls for
- * some seconds. Where a daemon sends each of hundreds of targets less than a call a second, a failure that is
- * forgotten within a second or two is forgotten before the next call; and one failure among many successes is no
- * reason to keep away. So both are remembered over some calls, and one is weighed against the other.
+ * Detects grey failures: targets with passing health checks that reject or fail half of their calls
+ * for some seconds. A daemon sends each of hundreds of targets less than one call a second, so a
+ * failure that is forgotten within a second or two is forgotten before the next call. A single
+ * failure among many successes, on the other hand, is no reason to avoid a target. Both counts
+ * therefore decay slowly, over several calls, and are compared.
  */
 
-/** What came of a call counts half after this time, in milliseconds: some calls of one daemon at one of hundreds. */
+/**
+ * Age at which an outcome has half its weight: several calls of one daemon to one of hundreds of
+ * targets.
+ */
 const HALF_LIFE_MS = 6000;
 
-/** Successes that a target is taken to have had: nothing is known of the first call. */
+/** Successes assumed in advance, so that the first call does not decide alone. */
 const PRIOR_SUCCESSES = 1;
 
-/** The record of one target. */
+/** The recent outcomes of the calls to one target. */
 export class FailureRate {
   #failures = 0;
 
@@ -21,19 +25,19 @@
 
   #decayedAt = 0;
 
-  /** Notes a call that failed. */
+  /** Records a call that failed. */
   recordFailure(now: number): void {
     this.#decay(now);
     this.#failures += 1;
   }
 
-  /** Notes a call that was answered well. */
+  /** Records a call that succeeded. */
   recordSuccess(now: number): void {
     this.#decay(now);
     this.#successes += 1;
   }
 
-  /** Failures for each success: 0 where there are none, 1 after the first call if it failed. */
+  /** Returns the failures per success: 0 without failures, 1 after a first call that failed. */
   read(now: number): number {
     this.#decay(now);
     return this.#failures / (this.#successes + PRIOR_SUCCESSES);
--- a/src/balance/home.ts
+++ b/src/balance/home.ts
@@ -1,12 +1,12 @@
 /**
- * Which entries a service is at home in, and which targets each of them uses.
+ * Assigns services to home entries, and targets to the homes of a service.
  *
- * Both are computed by every entry from the same list of live entries by rendezvous hashing, so no
- * message is needed, and a change of the list moves only the share of the entries that changed.
+ * Every entry computes both by rendezvous hashing from the same list of live entries. No message is
+ * needed, and a change of the list moves only the share of the entries that changed.
  */
 import { createHash } from 'node:crypto';
 
-/** What the computation needs to know of an entry. */
+/** An entry, as far as the assignment depends on it. */
 export interface HomeCandidate {
   readonly id: string;
   readonly name: string;
@@ -14,10 +14,12 @@
   readonly domain: string;
 }
 
-/** Calls a second that one entry carries with room to spare; measured in `docs/measurements`. */
+/** Calls a second that one entry handles with headroom. */
 export const ENTRY_CALLS_PER_SECOND = 1500;
 
-/** Returns the region of a failure domain: the part before the last slash. */
+/**
+ * Returns the region of a failure domain: the part before the last slash, or all of it without one.
+ */
 export function parseRegion(domain: string): string {
   const slash = domain.lastIndexOf('/');
   return slash < 0 ? domain : domain.slice(0, slash);
@@ -27,12 +29,12 @@
 
 const pairHashes = new Map<string, number>();
 
-/** Returns a number that is random for each pair but the same wherever it is computed. */
+/** Returns a hash of two strings: evenly distributed, and the same in every process. */
 export function hashPair(first: string, second: string): number {
   return createHash('md5').update(first).update('\0').update(second).digest().readUIntBE(0, 6);
 }
 
-/** The same, remembered: every service is ranked again whenever a member or VM changes. */
+/** Caches {@link hashPair}: every service is ranked again whenever a member or VM changes. */
 export function getPairHash(first: string, second: string): number {
   const pair = `${first}\0${second}`;
   const cached = pairHashes.get(pair);
@@ -54,7 +56,7 @@
     .map(({ candidate }) => candidate);
 }
 
-/** Puts candidates of different failure domains first, keeping the order otherwise. */
+/** Alternates between failure domains, keeping the order within each. */
 export function spreadDomains<T extends HomeCandidate>(ranked: readonly T[]): readonly T[] {
   const rounds = new Map<T, number>();
   const used = new Map<string, number>();
@@ -67,18 +69,18 @@
   return [...ranked].sort((a, b) => getRound(a) - getRound(b));
 }
 
-/** What the number of homes follows from. */
+/** What the number of homes of a service depends on. */
 export interface HomeRequirements {
   readonly name: string;
-  /** A fixed number, or 0. */
+  /** Fixed number of homes; 0 if not set. */
   readonly homes: number;
   /** Calls a second. */
   readonly expected_rate: number;
-  /** Homes that the measured load needs; 1 when it is not known. */
+  /** Homes that the measured load needs; 1 if it is unknown. */
   readonly needed: number;
 }
 
-/** Returns how many homes a service has in a region. */
+/** Returns the number of homes of a service in a region. */
 export function countHomes(requirements: HomeRequirements): number {
   if (requirements.homes > 0) return requirements.homes;
   return Math.max(
@@ -88,13 +90,13 @@
   );
 }
 
-/** A service's homes in one region, and the alternates in order. */
+/** The homes of a service in one region, and the alternates in order of preference. */
 export interface HomePlan<T> {
   readonly homes: readonly T[];
   readonly alternates: readonly T[];
 }
 
-/** Plans the homes of a service among the live entries of one region. */
+/** Chooses the homes of a service among the live entries of one region. */
 export function planHomes<T extends HomeCandidate>(
   requirements: HomeRequirements,
   candidates: readonly T[],
@@ -104,7 +106,10 @@
   return { homes: ordered.slice(0, count), alternates: ordered.slice(count) };
 }
 
-/** Returns the targets, by name, that one of the homes uses: an even share, stable under changes. */
+/**
+ * Returns the names of the targets that the home `self` uses: an even share that changes little
+ * when homes change.
+ */
 export function assignTargets(
   targets: readonly string[],
   homes: readonly HomeCandidate[],
--- a/src/balance/index.ts
+++ b/src/balance/index.ts
@@ -1,4 +1,6 @@
-/** Choosing a target, holding a call, or refusing it: pools, queues, limits, budgets, homes. */
+/**
+ * Load-balancing decisions: choosing a target, queueing or refusing a call, limits, budgets, homes.
+ */
 export * from './estimate.js';
 export * from './limit.js';
 export * from './target.js';
--- a/src/balance/knee.ts
+++ b/src/balance/knee.ts
@@ -1,30 +1,33 @@
 /**
- * Learns whether the targets of a service slow down when they are nearly full.
+ * Learns whether the targets of a service slow down when nearly all of their slots are busy.
  *
- * Where they do, the last slots bring nothing: three calls that each take 1.7 times as long end no
- * sooner than two that don't. Calls that ran at a nearly full target are compared with the others.
+ * If they do, the last slots add no throughput: three calls that each take 1.7 times as long finish
+ * no sooner than two that don't. The estimate compares calls at nearly full targets with the
+ * others.
  */
 import { DecayingMean } from './estimate.js';
 
-/** From this share of the slots on a target counts as nearly full. */
+/** Share of busy slots from which a target counts as nearly full. */
 const NEARLY_FULL_SHARE = 0.8;
 
-/** Both means follow some seconds of calls. */
 const HALF_LIFE_MS = 10_000;
 
 /** Samples of each kind that are needed before the limit is lowered. */
 const MIN_SAMPLES = 30;
 
-/** Calls of both kinds are partly full and partly not in between, so the factor seen is too small. */
+/**
+ * Calls counted as one kind meet the other kind for part of their time, so the observed factor is
+ * too small.
+ */
 const DILUTION = 0.6;
 
-/** The comparison for one service. */
+/** The estimate for one service. */
 export class KneeEstimate {
   readonly #fullTime = new DecayingMean(HALF_LIFE_MS);
 
   readonly #lightTime = new DecayingMean(HALF_LIFE_MS);
 
-  /** What is taken until enough has been seen here. */
+  /** Factor used until there are enough samples here. */
   #prior = 1;
 
   #fullSamples = 0;
@@ -32,13 +35,14 @@
   #lightSamples = 0;
 
   /**
-   * Learns from one call, and returns how many times longer it took for the calls beside it.
+   * Learns from one call. Returns the factor by which the calls beside it made it slower.
    *
-   * @param time how long it took, in multiples of its route's usual time at the slowdown told
-   * @param shares the shares of the slots that were busy at its start and at its end, its own included
+   * @param time its duration, in multiples of the usual time of its route at the reported slowdown
+   * @param shares the shares of the slots that were busy at its start and at its end, including its
+   * own
    */
   observe(time: number, [atStart, atEnd]: readonly [number, number], now: number): number {
-    // A call that met both says nothing of either.
+    // A call that met both loads is no sample of either.
     if (Math.min(atStart, atEnd) >= NEARLY_FULL_SHARE) {
       this.#fullTime.add(time, now);
       this.#fullSamples += 1;
@@ -52,19 +56,22 @@
     return Math.sqrt(this.readFactor());
   }
 
-  /** Takes what others have learnt, until enough has been seen here. */
+  /** Sets the factor used until there are enough samples here, as learned by other daemons. */
   setPrior(factor: number): void {
     this.#prior = factor;
   }
 
-  /** How many times longer a call takes at a nearly full target. */
+  /** Returns how many times longer a call takes at a nearly full target. */
   readFactor(): number {
     const hasEnoughSamples = this.#fullSamples >= MIN_SAMPLES && this.#lightSamples >= MIN_SAMPLES;
     if (!hasEnoughSamples) return this.#prior;
     return Math.max(1, this.#fullTime.read(1) / this.#lightTime.read(1));
   }
 
-  /** The number of calls at which a target with these slots does the most work. */
+  /**
+   * Returns the number of concurrent calls at which a target with these slots has the highest
+   * throughput.
+   */
   findConcurrencyLimit(slots: number): number {
     const reducedLimit = Math.max(1, Math.ceil(slots * NEARLY_FULL_SHARE) - 1);
     const maxFactor = 1 + (slots / reducedLimit - 1) * DILUTION;
--- a/src/balance/lateness.ts
+++ b/src/balance/lateness.ts
@@ -1,29 +1,40 @@
-/** Why an answer came after its aim: what to look at first when callers say that it is slow. */
+/**
+ * Classifies why an answer missed its target latency, for the log: where to look when callers
+ * report slow answers.
+ */
 
-/** Where the time of an answered request went, in milliseconds. */
+/** Timings of an answered request, in milliseconds. */
 export interface RequestTimings {
-  /** What was left of the aim when it arrived; below 0 when its caller had used it up. */
+  /**
+   * Time left until the answer is late, at the arrival of the request; below 0 if its caller had
+   * used it up.
+   */
   readonly aimLeft: number;
-  /** From its arrival until it was first sent to a target. */
+  /** From the arrival until the first attempt. */
   readonly waited: number;
-  /** From its arrival until its answer was passed on. */
+  /** From the arrival until the answer was forwarded. */
   readonly held: number;
+  /** Number of attempts at targets. */
   readonly attempts: number;
 }
 
-/** What made an answer late. */
+/** Why an answer was late. */
 export type LatenessCause =
   | 'in-time'
-  /** Its caller had spent the aim on earlier tries, look-ups or connections. */
+  /** The caller had used up the time on earlier attempts, look-ups or connections. */
   | 'came-late'
-  /** It waited here for so long that a usual call would have been late as well. */
+  /** It waited here for so long that a call of usual duration would have been late too. */
   | 'waited'
-  /** The first target failed it or was slow, and the second answered too late. */
+  /** The first target failed or was slow, and the second answered too late. */
   | 'second-attempt'
-  /** Its one target took too long. */
+  /** Its only target took too long. */
   | 'slow-target';
 
-/** Judges why an answer is late. @param usualTime how long a call takes from its sending, as expected */
+/**
+ * Finds why an answer was late.
+ *
+ * @param usualTime expected time from the attempt to the answer, in milliseconds
+ */
 export function findLatenessCause(timings: RequestTimings, usualTime: number): LatenessCause {
   const { aimLeft, waited, held, attempts } = timings;
   if (held <= aimLeft) return 'in-time';
--- a/src/balance/limit.ts
+++ b/src/balance/limit.ts
@@ -1,16 +1,16 @@
-/** How many calls a target is given at once. */
+/** Limits on the number of concurrent calls at a target. */
 
 /** A limit on the calls in flight at one target. */
 export interface ConcurrencyLimit {
-  /** The limit now; at least 1. */
+  /** Returns the current limit, at least 1. */
   read(): number;
-  /** Learns from an answer; `full` tells whether the limit was in use. */
+  /** Learns from an answer. @param full whether calls in flight had reached the limit */
   recordAnswer(latency: number, full: boolean): void;
-  /** Learns that the target refused for want of room. */
+  /** Learns that the target refused a call because it was overloaded. */
   recordShed(): void;
 }
 
-/** Creates the limit of a target whose slots are known. A shed call lowers nothing. */
+/** Creates the limit of a target with a known number of slots. A shed call does not lower it. */
 export function createFixedLimit(slots: number): ConcurrencyLimit {
   return { read: () => slots, recordAnswer: () => undefined, recordShed: () => undefined };
 }
@@ -22,10 +22,11 @@
 const BASELINE_DRIFT = 0.002;
 
 /**
- * Creates the limit of a target whose slots are not known (additive increase, multiplicative decrease).
+ * Creates the limit of a target with an unknown number of slots (additive increase, multiplicative
+ * decrease).
  *
- * It grows by one for each limit's worth of answers while latency stays near the lowest seen, and
- * shrinks when latency rises above that or when the target sheds.
+ * It grows by one per window of answers, a window being as many as the limit, while latency stays
+ * near the lowest seen. It shrinks when latency rises above that or the target sheds a call.
  */
 export function createAdaptiveLimit(max: number): ConcurrencyLimit {
   let limit = Math.min(INITIAL_LIMIT, max);
--- a/src/balance/load-estimate.ts
+++ b/src/balance/load-estimate.ts
@@ -1,33 +1,38 @@
 /**
- * What is believed of one target's load, from reports that are stale when they arrive.
+ * Estimates the load of one target from reports that are already out of date when they arrive.
  *
- * A report counts the calls of all daemons; this daemon's own ones are known exactly. So the others'
- * share is taken from the report and the own share from the count. How slow work is there is told with the time of the report; how long that says
- * something is learnt for the whole service.
+ * A report counts the calls of all daemons, while this daemon's own calls are known exactly. So the
+ * calls of the others are taken from the report, and the own calls from the local count. A slowdown
+ * is kept with the time of its report; how long it stays valid is learned per service.
  */
 
-/** What a target reports of itself. */
+/** The load of a target, as it reports it. */
 export interface TargetLoad {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
-  /** How long work takes there now, as a multiple of the usual. */
+  /** How long work takes there now, as a multiple of the usual time. */
   readonly slowdown: number;
 }
 
-/** A report older than this says nothing of how many calls are there now. */
+/** Age in milliseconds up to which a report's call count is used. */
 const MAX_REPORT_AGE_MS = 1000;
 
-/** What another home told of its own calls counts for this long; it tells again sooner than that. */
+/**
+ * How long another home's count of its own calls is used, in milliseconds; longer than the interval
+ * at which homes send it.
+ */
 const MAX_HOME_COUNT_AGE_MS = 1200;
 
-/** A report counts calls that end or arrive while it travels, so it may be off by this many. */
+/** Calls end and arrive while a report travels, so its count may be off by this many. */
 const REPORT_ERROR_CALLS = 1;
 
-/** A call that was sent this shortly before a report came is not counted in it yet. */
+/**
+ * A call sent less than this many milliseconds before a report arrives is not counted in it yet.
+ */
 const TRANSIT_MS = 4;
 
-/** The belief about one target. */
+/** The load estimate of one target. */
 export class LoadEstimate {
   #report: TargetLoad | undefined;
 
@@ -37,10 +42,10 @@
 
   #slowdownAt = -Infinity;
 
-  /** Calls in the report that are not this daemon's; below 0 when some of its own are not there. */
+  /** Calls in the report that are not this daemon's; below 0 if it lacks some of this daemon's. */
   #otherCalls = 0;
 
-  /** Calls in the report that neither this daemon nor any other home told of. */
+  /** Calls in the report that neither this daemon nor the other homes account for. */
   #unaccounted = 0;
 
   #inFlight = 0;
@@ -54,22 +59,22 @@
     return this.#inFlight;
   }
 
-  /** When the last report came. */
+  /** When the last report arrived; -Infinity before the first. */
   get reportedAt(): number {
     return this.#reportedAt;
   }
 
-  /** The last slowdown heard of, whatever its age. */
+  /** The last known slowdown, whatever its age; 1 before the first. */
   get lastSlowdown(): number {
     return this.#slowdown;
   }
 
-  /** When the last slowdown was so. */
+  /** When the last slowdown was observed; -Infinity before the first. */
   get slowdownAt(): number {
     return this.#slowdownAt;
   }
 
-  /** The last report. */
+  /** The last report; undefined before the first. */
   get lastReport(): TargetLoad | undefined {
     return this.#report;
   }
@@ -85,7 +90,7 @@
     this.#inFlight -= 1;
   }
 
-  /** This daemon's calls that a report may count which arrives now. */
+  /** Returns the number of this daemon's calls that a report arriving now may include. */
   countArrived(now: number): number {
     let inTransit = 0;
     for (const at of this.#starts) {
@@ -94,15 +99,15 @@
     return Math.max(0, this.#inFlight - inTransit);
   }
 
-  /** Takes another home's count of its own calls at the target. */
+  /** Records another home's count of its own calls at the target. */
   observeHomeCalls(home: string, inFlight: number, now: number): void {
     this.#homeCounts.set(home, { inFlight, at: now });
   }
 
   /**
-   * Takes what was heard of the target's slowdown, here or by another home; false if that is not news.
+   * Records a slowdown observed here or by another home; false if it is not newer than the last.
    *
-   * @param at when it was heard
+   * @param at when it was observed
    */
   observeSlowdown(slowdown: number, at: number): boolean {
     if (at <= this.#slowdownAt) return false;
@@ -111,7 +116,11 @@
     return true;
   }
 
-  /** Takes a report. @param ownCalls this daemon's calls that it may count */
+  /**
+   * Records a report of the target.
+   *
+   * @param ownCalls this daemon's calls that the report may include
+   */
   observeReport(report: TargetLoad, ownCalls: number, now: number): void {
     this.#report = report;
     this.#reportedAt = now;
@@ -122,12 +131,13 @@
   }
 
   /**
-   * Calls at the target now, of all daemons.
+   * Returns the number of calls at the target now, from all daemons.
    *
-   * The homes tell each other their own calls, which is nearly exact. A report adds what nobody told
-   * of. Without either, each of the homes is taken to have as many there as this one.
+   * The homes send each other their own counts, which is nearly exact. A report adds the calls that
+   * no home accounts for. Without either, every home is assumed to have as many calls there as this
+   * one.
    *
-   * @param reportingHomes homes that told of their calls of late, be it that they have none here
+   * @param reportingHomes number of homes that recently sent counts, with or without calls here
    */
   countCalls(now: number, homes: number, reportingHomes = 0): number {
     const { homes: countedHomes, homeCalls } = this.#sumHomeCounts(now);
@@ -140,7 +150,7 @@
       : this.#inFlight * Math.max(1, homes);
   }
 
-  /** Counts the homes that told of their calls of late, and those calls. */
+  /** Counts the homes that recently sent their counts, and sums those counts. */
   #sumHomeCounts(now: number): { readonly homes: number; readonly homeCalls: number } {
     let homes = 0;
     let homeCalls = 0;
--- a/src/balance/poison.ts
+++ b/src/balance/poison.ts
@@ -1,100 +1,125 @@
 /**
- * Which requests targets end under: a poison request (query of death) crashes whoever begins to run it.
+ * Detects poison requests (queries of death): requests that crash the target that starts to run
+ * them.
  *
- * The pattern answered: one look-up that its caller, this daemon and the other daemons repeat, each time at a target
- * that ends some ten milliseconds later with all that it runs. A target that ends takes some innocent requests with
- * it for each guilty one, so a single end blames nobody: whoever lost a target may run again, apart from others that
- * did, and whoever is answered is innocent. A request under which a second target ends is held out.
+ * Guards against one request that its caller, this daemon and the other daemons keep repeating,
+ * each time at a target that ends some ten milliseconds later with everything that it runs. A
+ * target that ends takes innocent requests with it, so a single end proves nothing: a request that
+ * lost a target may run again, apart from other suspects, and a request that is answered is
+ * cleared. A request that loses a second target is held out.
  *
- * Only requests that lost a target are remembered. What daemons tell each other of one may come in any order and
- * more than once.
+ * Only requests that lost a target are remembered. Daemons exchange their cases, which may arrive
+ * in any order and more than once.
  */
 
-/** A request and the targets that ended under it, wherever it is told of. */
+/** A request and the targets that ended while running it, as daemons exchange and store it. */
 export interface BlamedRequest {
-  /** Stands for the request; begins with its head. */
+  /** Identifies the request; begins with the digest of its head. */
   readonly request: string;
-  /** Stand for the lives of targets that ended while they ran it; none when it was answered since. */
+  /**
+   * Numbers of the target incarnations that ended while running it; empty if it was answered since.
+   */
   readonly ended: readonly number[];
   /** Releases of those targets. */
   readonly releases: readonly string[];
 }
 
-/** What is known of one request here. */
+/** What this daemon knows of one request. */
 export interface PoisonCase extends BlamedRequest {
-  /** When the last of them ended, or when it was answered; in milliseconds on this daemon's clock. */
+  /**
+   * When the last target ended, or when the request was answered, in milliseconds on this daemon's
+   * clock.
+   */
   readonly changedAt: number;
 }
 
-/** The end of a target as seen from a request that ran there. */
+/** The end of a target that was running a request. */
 export interface TargetEnd {
-  /** Stands for the life that ended. */
+  /** Number of the incarnation that ended. */
   readonly target: number;
-  /** The release of the target; empty where it says none. */
+  /** The release of the target; empty if it reports none. */
   readonly release: string;
 }
 
 /** What may be done with a request. */
 export type PoisonDecision =
-  /** No target has ended under it. */
+  /** No target has ended while running it since it was last answered. */
   | { readonly kind: 'clear' }
-  /** It may run once at a time, at a target where no other suspect runs and of a release other than these. */
+  /**
+   * It may run one at a time, at a target that runs no other suspect and none of the avoided
+   * releases.
+   */
   | { readonly kind: 'suspect'; readonly avoidedReleases: readonly string[] }
-  /** It is sent nowhere; `wait` is the time after which its caller may ask again. */
+  /**
+   * It is not sent to any target; `wait` is the time in milliseconds after which its caller may
+   * retry.
+   */
   | { readonly kind: 'held'; readonly wait: number };
 
-/** What a verdict depends on besides the record. */
+/** What a decision depends on besides the record. */
 export interface PoisonContext {
   readonly now: number;
-  /** Targets of the service. */
+  /** Number of targets of the service. */
   readonly targets: number;
-  /** Releases that targets of the service run. */
+  /** Releases that the targets of the service run. */
   readonly releases: ReadonlySet<string>;
-  /** Whether it falls to this daemon to try requests that are held out. */
+  /** Whether this daemon is the one that tries held-out requests again. */
   readonly mayRunTrials: boolean;
 }
 
-/** Ends of targets after which a request is held out; one more while targets also end by themselves. */
+/**
+ * Ends of targets after which a request is held out; one more while targets also end on their own.
+ */
 const MIN_ENDS = 2;
 
 /**
- * How long a request is held out after the last end, in milliseconds, before it is tried once more: the first time
- * for an innocent one that lost two targets by chance, some times as long as its caller would wait; the second for
- * targets that were mended without a new release. After that only a new release, or forgetting it, sets it free: each
- * trial of a guilty one costs a target and what else runs there.
+ * How long a request is held out after the last end, in milliseconds, before it is tried once more.
+ * The first time is for an innocent request that lost two targets by chance, and is several times
+ * as long as its caller would wait. The second is for targets that were fixed without a new
+ * release. After that, only a new release or forgetting the case sets the request free, because each
+ * trial of a poison request costs a target and everything that it runs.
  */
 const HOLD_TIMES_MS = [15_000, 300_000];
 
-/** A request is forgotten this long after it last lost a target: a day, in which releases are made. */
+/**
+ * Time after the last end at which a request is forgotten: a day, in which fixed releases are
+ * deployed.
+ */
 const CASE_LIFETIME_MS = 86_400_000;
 
-/** That a request was answered is remembered for this long, for words of before that are still on their way. */
+/**
+ * How long an answered request is remembered, so that older messages that arrive late don't blame
+ * it again.
+ */
 const CLEARED_LIFETIME_MS = 60_000;
 
-/** Requests remembered: about a megabyte. Those that lost one target go first. */
+/** About a megabyte. Requests that lost only one target are forgotten first. */
 const MAX_CASES = 4096;
 
-/** Cases looked at, the oldest first, whether they are over, at each that comes; all of them take 40 us. */
+/** Cases checked for expiry per new case, the oldest first; checking all of them takes 40 us. */
 const MAX_TRIMMED = 8;
 
-/** Ends of targets count as chance for this long, in milliseconds: some calls' time. */
+/** How long an end counts towards the rate of ends by chance: the duration of several calls. */
 const CHANCE_WINDOW_MS = 10_000;
 
-/** A caller whose copy of the same request is being run may return after this long. */
+/** Retry time for the caller of a request of which another copy is running. */
 const COPY_WAIT_MS = 250;
 
-/** The longest time after which a caller is told to come back: it may be one whose request is good again by then. */
+/** Upper limit of a retry time: the request may be harmless again by then. */
 const MAX_WAIT_MS = 60_000;
 
-/** More releases or ended targets of one request say nothing more. */
+/** More releases or ended targets of one request add no information. */
 const MAX_NAMED = 8;
 
-/** Characters of a digest, 6 bits each. A request's name is that of its head and that of its body. */
+/**
+ * Characters of the digest of a request's head, 6 bits each. A request's fingerprint is the digest
+ * of its head, followed by that of its body.
+ */
 export const HEAD_DIGEST_LENGTH = 16;
 
 interface RecentEnd {
   readonly at: number;
-  /** Whether a request that is held out, or about to be, explains it. */
+  /** Whether a request that is held out, or about to be, explains the end. */
   isExplained: boolean;
 }
 
@@ -102,15 +127,18 @@
   return [...new Set([...known, ...added])].slice(-MAX_NAMED);
 }
 
-/** What a word of another daemon was worth: `outdated` says that the other does not know what is known here. */
+/**
+ * How a case received from another daemon compares with the own record; `outdated` means that the
+ * sender lacks what is known here.
+ */
 export type ReceivedCase = 'news' | 'known' | 'outdated';
 
-/** Whether a case still blames its request for anything. */
+/** Whether a target ended while running the request since it was last answered. */
 function isBlamed({ ended }: PoisonCase): boolean {
   return ended.length > 0;
 }
 
-/** Joins what two daemons know of a blamed request. */
+/** Merges what two daemons know of a blamed request. */
 function mergeCases(a: PoisonCase, b: PoisonCase): PoisonCase {
   return {
     request: a.request,
@@ -120,41 +148,41 @@
   };
 }
 
-/** The record of one daemon. */
+/** The cases that one daemon knows. */
 export class PoisonRecord {
   readonly #cases = new Map<string, PoisonCase>();
 
-  /** How many cases begin with each head, so that only requests with a known one are told apart by their bodies. */
+  /** Number of cases per head. Only requests with a known head need a digest of their body. */
   readonly #caseCountByHead = new Map<string, number>();
 
   /** Suspects that run from here. */
   readonly #running = new Set<string>();
 
-  /** Targets that ended of late. */
+  /** Recent ends of targets. */
   readonly #recentEnds = new Map<number, RecentEnd>();
 
-  /** Whether nothing is known of any request, as on most days. */
+  /** Whether no case is known, which is the usual state. */
   get isEmpty(): boolean {
     return this.#cases.size === 0;
   }
 
-  /** Whether a request with this head may be known. */
+  /** Whether a case with this head is known. */
   mayKnowHead(head: string): boolean {
     return this.#caseCountByHead.has(head);
   }
 
-  /** Finds a request under which a target ended since it was last answered. */
+  /** Finds the case of a request if a target ended while running it since it was last answered. */
   findBlamed(request: string): PoisonCase | undefined {
     const known = this.#cases.get(request);
     return known !== undefined && isBlamed(known) ? known : undefined;
   }
 
-  /** Finds what is known of a request. */
+  /** Finds the case of a request, whether it blames or clears it. */
   findCase(request: string): PoisonCase | undefined {
     return this.#cases.get(request);
   }
 
-  /** Says what may be done with a request that is to be sent. */
+  /** Decides what may be done with a request that is about to be sent. */
   judge(request: string, context: PoisonContext): PoisonDecision {
     const known = this.#cases.get(request);
     if (known === undefined || !isBlamed(known)) return { kind: 'clear' };
@@ -169,24 +197,27 @@
     return { kind: 'held', wait: Math.min(MAX_WAIT_MS, Math.max(COPY_WAIT_MS, left)) };
   }
 
-  /** Notes that a suspect is sent; copies of it wait meanwhile. */
+  /** Records that a suspect is sent; copies of it wait meanwhile. */
   start(request: string): void {
     this.#running.add(request);
   }
 
-  /** Notes that what was sent of a suspect has come to an end. */
+  /** Records that the attempts of a suspect have ended. */
   finish(request: string): void {
     this.#running.delete(request);
   }
 
-  /** Notes that a target ended while it ran a request. Returns what is known of the request now. */
+  /** Records that a target ended while running a request; returns the case. */
   recordTargetEnd(request: string, { target, release }: TargetEnd, at: number): PoisonCase {
     const observed = { request, ended: [target], releases: [release], changedAt: at };
     this.receive(observed, at);
     return this.#cases.get(request) ?? observed;
   }
 
-  /** Notes that a target ran a request to its end. Returns the case if it was blamed before. */
+  /**
+   * Records that a target ran a request to its end; returns the cleared case if it was blamed
+   * before.
+   */
   recordAnswer(request: string, now: number): PoisonCase | undefined {
     const known = this.#cases.get(request);
     if (known === undefined || !isBlamed(known)) return undefined;
@@ -195,7 +226,10 @@
     return cleared;
   }
 
-  /** Takes what another daemon knows; what is older than its opposite here says nothing. */
+  /**
+   * Merges a case received from another daemon. A blaming case and a clearing one override each
+   * other by age.
+   */
   receive(received: PoisonCase, now: number): ReceivedCase {
     const known = this.#cases.get(received.request);
     if (!isBlamed(received)) {
@@ -215,20 +249,21 @@
     return 'news';
   }
 
-  /** Lists the requests that are held out, those that lost a target last at the end. */
+  /** Lists the requests that are held out, in the order of their last end. */
   listHeldOut(): readonly PoisonCase[] {
     return [...this.#cases.values()].filter(({ ended }) => ended.length >= MIN_ENDS);
   }
 
-  /** Lists what changed after a moment. */
+  /** Lists the cases that changed after a time, in milliseconds on this daemon's clock. */
   listChangedSince(time: number): readonly PoisonCase[] {
     return [...this.#cases.values()].filter(({ changedAt }) => changedAt > time);
   }
 
   /**
-   * How many ends it takes. Where targets end by themselves, requests lose two by chance: with e ends within ten
-   * seconds at T targets, five requests at each and a quarter of a second at a target, that happens to e * e / 8T
-   * of them. Where that may be one in ten seconds, three are asked for.
+   * Returns how many ends it takes to hold a request out. Where targets end on their own, requests
+   * lose two of them by chance: with e ends within ten seconds at T targets, five requests at each
+   * and a quarter of a second per request, e * e / 8T requests do. Where that may be one in ten
+   * seconds, three ends are needed.
    */
   #computeMinEnds({ now, targets }: PoisonContext): number {
     let ends = 0;
@@ -255,7 +290,7 @@
     }
   }
 
-  /** Keeps cases in the order in which they last changed. */
+  /** Keeps cases ordered by their last change. */
   #put(next: PoisonCase): void {
     const { request } = next;
     if (!this.#cases.delete(request)) this.#updateHeadCount(request, 1);
--- a/src/balance/pool.ts
+++ b/src/balance/pool.ts
@@ -1,4 +1,4 @@
-/** A pool in one entry: gives each call a target's slot, lets it wait, or refuses it. */
+/** A pool in one entry: gives each call a slot at a target, queues it, or refuses it. */
 import { type Clock, type Random, type Timer, assertInvariant } from '../kernel/index.js';
 import type { ClassConfig } from '../config/index.js';
 import type { Hold } from '../policy/index.js';
@@ -12,10 +12,10 @@
   readonly class: ClassConfig;
   readonly caller: string;
   readonly hold: Hold | undefined;
-  /** When the call's time is over, on the kernel's clock. */
+  /** When the call is abandoned, on the kernel's clock. */
   readonly deadline: number;
   readonly signal: AbortSignal;
-  /** Whether the call may be repeated; only such a call is risked on a target under trial. */
+  /** Whether the call may be repeated; other calls are not sent to a target on trial. */
   readonly repeatable: boolean;
   /** Targets that this call has tried; they are used only if no other is left. */
   readonly tried: ReadonlySet<Target>;
@@ -25,27 +25,27 @@
 export type RefusalReason =
   'no-target' | 'queue-full' | 'wait-too-long' | 'deadline' | 'cancelled' | 'stopping';
 
-/** A slot at a target. It must be released once. */
+/** A slot at a target. It must be released exactly once. */
 export interface Slot {
   readonly kind: 'slot';
   readonly target: Target;
   /** Time waited for the slot, in milliseconds. */
   readonly waited: number;
-  /** Gives the slot back. */
+  /** Releases the slot. */
   release(end: AttemptEnd): void;
 }
 
-/** No slot, and when to ask again, in milliseconds. */
+/** A refusal, and the time after which to retry, in milliseconds. */
 export interface SlotRefusal {
   readonly kind: 'refused';
   readonly reason: RefusalReason;
   readonly retryAfter: number;
 }
 
-/** What asking for a slot gives. */
+/** The result of asking for a slot. */
 export type SlotResult = Slot | SlotRefusal;
 
-/** What a pool is made from. */
+/** Options of a {@link Pool}. */
 export interface PoolOptions {
   readonly strategy: Strategy;
   readonly queueLimit: number;
@@ -108,23 +108,26 @@
     return this.#targets;
   }
 
-  /** The number of calls that wait. */
+  /** The number of waiting calls. */
   get waiting(): number {
     return this.#queue.size;
   }
 
-  /** Time to an answer that 95 of 100 calls stay under, in milliseconds. */
+  /**
+   * The 95th percentile of the time to an answer, in milliseconds; Infinity before the first
+   * answer.
+   */
   get hedgeDelay(): number {
     return this.#hedgeDelay.read(Infinity);
   }
 
-  /** Replaces the targets; calls in flight at one that is dropped end where they are. */
+  /** Replaces the targets. Calls in flight at a removed target continue there. */
   setTargets(targets: readonly Target[]): void {
     this.#targets = targets;
     this.pump();
   }
 
-  /** Measures the load, for policies and status. */
+  /** Measures the load, for policies and the status. */
   readLoad(): PoolLoad {
     let slots = 0;
     let busy = 0;
@@ -143,7 +146,7 @@
     };
   }
 
-  /** Gives a slot at once, or nothing: for hedges, which never wait. */
+  /** Takes a free slot, or undefined: for hedges, which never wait. */
   takeFreeSlot(request: SlotRequest): Slot | undefined {
     if (this.#queue.size > 0) return undefined;
     const target = this.#findFreeTarget(request);
@@ -151,7 +154,7 @@
     return this.#openSlot(request, target, this.options.clock.now());
   }
 
-  /** Gives a slot, now or after waiting, or refuses. */
+  /** Takes a slot, now or after waiting, or refuses the call. */
   async takeSlot(request: SlotRequest): Promise<SlotResult> {
     const now = this.options.clock.now();
     if (request.signal.aborted) return this.#refuse('cancelled');
@@ -202,7 +205,10 @@
     });
   }
 
-  /** Room also appears without a release: a report grows old, a target warms up or gets its trial. */
+  /**
+   * Slots also become free without a release: a report expires, a target warms up or gets its
+   * trial.
+   */
   #schedulePump(): void {
     if (this.#isPumping || this.#queue.size === 0) return;
     this.#isPumping = true;
@@ -213,7 +219,7 @@
     });
   }
 
-  /** Estimates how long a call of this class waits behind the ones that go before it. */
+  /** Estimates how long a call waits behind those of its class that go first, in milliseconds. */
   #estimateWait(request: SlotRequest): number {
     const slots = this.#countSlots();
     if (slots === 0) return 0;
@@ -295,7 +301,7 @@
     return this.#chooseTarget(preferred.length > 0 ? preferred : free, this.options.clock.now());
   }
 
-  /** With most targets ejected the cause is likelier a shared one: use them all again. */
+  /** When most targets are ejected, a shared cause is more likely: all of them are used again. */
   #clearEjectionsIfTooMany(): void {
     const ejected = this.#targets.filter((target) => {
       const { kind } = target.readState();
--- a/src/balance/queue.ts
+++ b/src/balance/queue.ts
@@ -1,13 +1,14 @@
 /**
  * The calls that wait in an entry for a slot.
  *
- * Calls wait in lanes, one for each class of work and each policy that holds calls back. Lanes share
- * the slots by weight; inside a lane callers take turns. A lane whose hold is exhausted is passed over.
+ * Calls wait in lanes: one per class of work and policy that holds calls back. Lanes share the
+ * slots by weight, and the callers within a lane take turns. A lane whose hold is used up is
+ * skipped.
  */
 import type { ClassConfig } from '../config/index.js';
 import type { Hold } from '../policy/index.js';
 
-/** What the queue needs to know of a waiting call. */
+/** A waiting call, as far as the queue depends on it. */
 export interface WaitingCall {
   readonly class: ClassConfig;
   readonly caller: string;
@@ -18,14 +19,14 @@
   readonly name: string;
   readonly weight: number;
   readonly hold: Hold | undefined;
-  /** Waiting calls by caller; the order of the map is the order of their turns. */
+  /** Waiting calls by caller; the order of the map is the order of the callers' turns. */
   readonly callers: Map<string, T[]>;
-  /** Service received so far, divided by the weight. */
+  /** Calls taken from the lane so far, divided by its weight. */
   virtualTime: number;
   size: number;
 }
 
-/** A queue with weighted lanes and turns between callers. */
+/** A weighted fair queue, with turns between the callers of a lane. */
 export class CallQueue<T extends WaitingCall> {
   readonly #lanes = new Map<string, Lane<T>>();
 
@@ -38,7 +39,7 @@
     return this.#size;
   }
 
-  /** The number of waiting calls of a class, in all its lanes. */
+  /** Returns the number of waiting calls of a class, in all its lanes. */
   countClass(name: string): number {
     let count = 0;
     for (const lane of this.#lanes.values()) {
@@ -47,7 +48,7 @@
     return count;
   }
 
-  /** Adds a call at the end of its caller's turns. */
+  /** Adds a call behind those of its caller. */
   add(item: T): void {
     const lane = this.#findLane(item);
     if (lane.size === 0) lane.virtualTime = Math.max(lane.virtualTime, this.#virtualTime);
@@ -58,7 +59,7 @@
     this.#size += 1;
   }
 
-  /** Removes a call wherever it waits; false when it does not wait. */
+  /** Removes a call wherever it waits; false if it does not wait. */
   remove(item: T): boolean {
     const lane = this.#findLane(item);
     const calls = lane.callers.get(item.caller);
@@ -70,7 +71,7 @@
     return true;
   }
 
-  /** Takes the call whose turn it is among the lanes that `allows` lets through. */
+  /** Takes the next call from the lanes whose hold `allows` accepts; undefined if there is none. */
   take(allows: (hold: Hold | undefined) => boolean): T | undefined {
     let best: Lane<T> | undefined;
     for (const lane of this.#lanes.values()) {
--- a/src/balance/rate-ramp.ts
+++ b/src/balance/rate-ramp.ts
@@ -1,16 +1,22 @@
-/** How what a target gets rises after a time in which it got less: not all at once, as many daemons send there. */
+/**
+ * Ramps up the rate of a target after a restriction ends: many daemons send there, so not all at
+ * once.
+ */
 
-/** A rise; times in milliseconds. */
+/** A ramp-up; times in milliseconds. */
 export interface RateRamp {
-  /** Requests a second that it begins with. */
+  /** Initial rate in requests a second. */
   readonly startRate: number;
-  /** It doubles in this time. */
+  /** Time in which the rate doubles. */
   readonly doublingTime: number;
-  /** After this long nothing limits any more. */
+  /** Time after which nothing limits the target any more. */
   readonly duration: number;
 }
 
-/** Computes the requests a second that a target may get; undefined once nothing limits it. */
+/**
+ * Computes the rate in requests a second after `elapsed` milliseconds; undefined once the ramp-up
+ * is over.
+ */
 export function computeRampRate(
   { startRate, doublingTime, duration }: RateRamp,
   elapsed: number,
--- a/src/balance/route-time.ts
+++ b/src/balance/route-time.ts
@@ -1,28 +1,30 @@
-/** What the calls of one route have taught of their work. */
+/** Learns how long the calls of one route take. */
 import { DecayingMean, QuantileEstimate } from './estimate.js';
 
-/** The work follows the answers of some seconds. */
 const HALF_LIFE_MS = 3000;
 
-/** Work of a call nothing is known of, before the first answer of its route, in milliseconds. */
+/** Duration assumed before the first answer of a route. */
 const INITIAL_WORK_MS = 100;
 
 /**
- * The part of the calls that the spread covers. A few of those that seemed to meet a quick target met a
- * slow one; they are not to count as spread of the work.
+ * Share of the calls that the spread covers. A few calls at targets that seemed fast ran at slow
+ * ones; those must not count as spread.
  */
 const SPREAD_QUANTILE = 0.85;
 
-/** Answers after which others are told what they taught. */
+/** Answers after which other daemons get the estimate. */
 const MIN_ANSWERS = 10;
 
-/** Taken before the first answer: work that varies by a third, as most does. */
+/** Spread assumed before the first answer: durations that vary by a third, as most do. */
 const INITIAL_SPREAD = 1.4;
 
-/** A call that took this many times longer than expected met a fault, which says nothing of the next. */
+/**
+ * A call that takes more than this multiple of the expected time met a fault, which predicts
+ * nothing for the next.
+ */
 const MAX_RATIO = 4;
 
-/** The work of the calls of one route, and how far their times lie from what was expected. */
+/** The work of a route's calls, and how far their durations lie from the expected ones. */
 export class RouteTime {
   readonly #work = new DecayingMean(HALF_LIFE_MS);
 
@@ -34,39 +36,42 @@
 
   #hasPrior = false;
 
-  /** Whether anything is known of the calls. */
+  /** Whether there is an estimate, from answers here or from other daemons. */
   get isKnown(): boolean {
     return this.#answers > 0 || this.#hasPrior;
   }
 
-  /** Whether enough answers came to be of use to others. */
+  /** Whether there are enough answers for the estimate to be of use to other daemons. */
   get hasEnoughSamples(): boolean {
     return this.#answers >= MIN_ANSWERS;
   }
 
-  /** Takes what others have learnt, until an answer comes here. */
+  /** Sets the estimate used until an answer arrives here, as learned by other daemons. */
   setPrior(prior: { readonly work: number; readonly spread: number }): void {
     this.#prior = prior;
     this.#hasPrior = true;
   }
 
-  /** Learns from an answer whose target's slowdown was known. */
+  /** Records the work of an answered call whose target's slowdown was known, in milliseconds. */
   recordWork(work: number, now: number): void {
     this.#work.add(work, now);
     this.#answers += 1;
   }
 
-  /** Learns from the same answers. @param ratio its time, in multiples of the expected one */
+  /** Records the ratio of the duration to the expected duration, for the same calls. */
   recordRatio(ratio: number): void {
     if (ratio < MAX_RATIO) this.#spread.add(ratio);
   }
 
-  /** Time of a call at a usual, idle target, in milliseconds. */
+  /** Returns the duration of a call at an idle target of usual speed, in milliseconds. */
   readWork(): number {
     return this.#work.read(this.#prior.work);
   }
 
-  /** Most calls at a target as quick as expected take no longer than this many times the expected time. */
+  /**
+   * Returns the factor by which most calls stay within the expected time, at targets of the
+   * expected speed.
+   */
   readSpread(): number {
     return Math.max(1, this.#spread.read(this.#prior.spread));
   }
--- a/src/balance/shared-rate.ts
+++ b/src/balance/shared-rate.ts
@@ -1,38 +1,46 @@
 /**
- * How much of a rate that all daemons together keep to at one target falls to one daemon.
+ * Computes one daemon's part of a rate that all daemons together keep to at one target.
  *
- * The pattern answered: targets that have just started, or are in need, fall over when they get more than a few
- * requests a second, which may be fewer than there are daemons. Daemons do not agree on who sends there: homes change,
- * are cut off from each other, or start all at once. So each home has the part of the rate that stands for the part of
- * the fleet that looks to it. Everybody looks to few daemons, as one in all, so the parts sum up to one however the
- * fleet is split; for a moment after a change one may be counted where it was and where it is.
+ * Guards targets that have just started or are overloaded: they fail when they get more than a few
+ * requests a second, which may be fewer than there are daemons. Daemons can't agree on who sends
+ * there, because homes change, are partitioned from each other, or start all at once. So each home
+ * gets the part of the rate that corresponds to the part of the fleet that reports to it. Every
+ * daemon reports to a few others with a total weight of one, so the parts add up to one however the
+ * fleet is partitioned. Right after a change, a daemon may be counted in both its old and its new
+ * place.
  *
- * A home that may send less than one request a second saves up for one. What all of them have saved may come at once,
- * so it is one request each, and few of them share one target.
+ * A home that may send less than one request a second saves up for one. All homes may send what
+ * they have saved at the same moment, so each saves at most one request, and few homes share a
+ * target.
  */
 import { getPairHash } from './home.js';
 
-/** A rate that holds at one target for all daemons together. */
+/** A rate that applies at one target to all daemons together. */
 export interface SharedRate {
   /** Requests a second. */
   readonly rate: number;
-  /** Homes that it is divided among, at most; each may have one request saved up. */
+  /** Maximum number of homes that the rate is divided among; each may have one request saved up. */
   readonly maxSenders: number;
 }
 
-/** What one daemon stands for in the fleet. */
+/** The part of the fleet that one daemon represents. */
 export interface FleetShare {
-  /** The part of the fleet that looks to this daemon, from 0 to 1. */
+  /** Part of the fleet that reports to this daemon, from 0 to 1. */
   readonly part: number;
-  /** IP numbers of the homes. */
+  /** IP addresses of the homes. */
   readonly homes: readonly string[];
   readonly self: string;
 }
 
-/** More homes than these never share one target, so that what they have saved is little beside any bound. */
+/**
+ * Maximum number of homes that share a target, so that the requests they have saved stay small
+ * against any limit.
+ */
 export const MAX_SENDERS = 4;
 
-/** Whether a home is one of those that share a target: as long as homes stay, so do they. */
+/**
+ * Whether a home is one of those that share a target. The selection is stable while the homes are.
+ */
 function isSender({ homes, self }: FleetShare, target: number, maxSenders: number): boolean {
   if (!homes.includes(self)) return false;
   if (homes.length <= maxSenders) return true;
@@ -44,7 +52,7 @@
 /**
  * Computes the requests a second that one daemon may send to a target.
  *
- * @param target the number that stands for the target between daemons
+ * @param target the number that identifies the target between daemons
  */
 export function computeOwnRate(
   { rate, maxSenders }: SharedRate,
@@ -58,19 +66,20 @@
 
 const SECOND_MS = 1000;
 
-/** Requests that one daemon may have saved up. */
 const MAX_SAVED_REQUESTS = 1;
 
-/** Sums of many small parts of a request miss a whole one by less than this. */
+/** Accumulated fractions of a request may fall short of a whole one by up to this. */
 const ROUNDING_ERROR = 1e-9;
 
-/** What one daemon has saved up to send to one target: nothing at first, and never more than one request. */
+/**
+ * A rate limiter for one daemon and one target. It is empty at first and holds at most one request.
+ */
 export class RateLimiter {
   #saved = 0;
 
   #filledAt: number | undefined;
 
-  /** Whether a request may be sent, at so many requests a second from here. */
+  /** Whether a request may be sent now. @param rate requests a second that may be sent */
   maySend(now: number, rate: number): boolean {
     const elapsed = now - (this.#filledAt ?? now);
     this.#filledAt = now;
@@ -78,7 +87,7 @@
     return this.#saved >= 1 - ROUNDING_ERROR;
   }
 
-  /** Takes one request, which may be sent where nothing limits them as well. */
+  /** Takes one request. Calls that no rate limits are taken too, so it may be empty. */
   take(): void {
     this.#saved = Math.max(0, this.#saved - 1);
   }
--- a/src/balance/strategy.ts
+++ b/src/balance/strategy.ts
@@ -1,8 +1,8 @@
-/** How a target is chosen among those that may be given one more call. */
+/** Strategies for choosing one of the targets that may take one more call. */
 import type { Random } from '../kernel/index.js';
 import type { Target } from './target.js';
 
-/** The strategies. All but `fresh` are baselines that the experiment tool measures against. */
+/** Names of the strategies. All but `fresh` are baselines for the experiment tool. */
 export const STRATEGIES = [
   ...(['fresh', 'random', 'round-robin', 'least-in-flight'] as const),
   ...(['two-choices', 'lowest-latency'] as const),
@@ -11,10 +11,10 @@
 /** One of {@link STRATEGIES}. */
 export type Strategy = (typeof STRATEGIES)[number];
 
-/** Chooses one of the candidates, which are never empty. */
+/** Chooses one of the candidates, of which there is at least one. */
 export type Chooser = (candidates: readonly Target[], now: number) => Target;
 
-/** Returns the item of the lowest cost; ties go to the first one met from a random start. */
+/** Returns the item with the lowest cost; ties go to the first one from a random position. */
 export function findCheapest<T>(
   items: readonly T[],
   measure: (item: T) => number,
@@ -38,16 +38,18 @@
 const STALL_FLOOR_MS = 5;
 const STALL_COST = 4;
 const LATENCY_WEIGHT = 0.25;
-/** Latencies this close are noise; without it one target would get every call at light load. */
+/**
+ * Latencies within this factor are noise; without it one target would get every call at light load.
+ */
 const LATENCY_TOLERANCE = 1.25;
 const UNKNOWN_LATENCY_MS = 10;
 
 /**
- * The cost of giving a target one more call, from what this entry itself has seen.
+ * Computes the cost of giving a target one more call, from what this entry has observed itself.
  *
- * The share of its slots in use is exact where the entry is the target's only home. A target that
- * holds calls without ending any for much longer than its usual time is taken to have slowed down,
- * which shows within a few service times, long before its mean latency does.
+ * The share of busy slots is exact if the entry is the target's only home. A target that holds
+ * calls for much longer than usual without completing any is taken to have slowed down; that shows
+ * within a few service times, long before the mean latency rises.
  */
 function computeFreshCost(target: Target, now: number, usualLatency: number): number {
   const limit = Math.max(1, target.limit);
--- a/src/balance/target.ts
+++ b/src/balance/target.ts
@@ -1,9 +1,10 @@
 /**
- * One target as one entry sees it: what it is given, what it answers, and whether it may be used.
+ * One target as one entry sees it: its limit, its answers, and whether it may be used.
  *
- * Several witnesses speak of a target: the platform's list, the target's own word on its answers,
- * notices from other entries, and the outcome of calls. Each can be wrong, so each has a bounded
- * effect and each heals: the word by a later word, a notice by its age, an ejection by a trial.
+ * Several sources report on a target: the platform's list, the target's own answers, notices from
+ * other entries, and the outcome of calls. Each can be wrong, so each has a bounded effect and a
+ * way to be corrected: a reported state by a later one, a notice by its age, an ejection by a
+ * trial.
  */
 import {
   type Address,
@@ -15,20 +16,20 @@
 import { DecayingMean } from './estimate.js';
 import type { ConcurrencyLimit } from './limit.js';
 
-/** What a target says of itself. */
+/** The state that a target reports of itself. */
 export type ReportedState = 'ready' | 'cold' | 'draining';
 
-/** What an ordinary answer of a target reports of its load. */
+/** What the head of a target's answer reports. */
 export interface TargetReport {
   readonly state: ReportedState | undefined;
-  /** Calls still at the target, from all entries, when it answered; the answered one is not counted. */
+  /** Calls at the target from all entries when it answered, without the answered one. */
   readonly inFlight: number | undefined;
 }
 
 /** How one attempt at a target ended. */
 export type AttemptEnd =
   | { readonly kind: 'answered'; readonly status: number }
-  /** The target said that it did not run the call. */
+  /** The target reported that it did not run the call. */
   | { readonly kind: 'not-run' }
   | { readonly kind: 'failed'; readonly reason: string }
   /** The entry ended the attempt itself. */
@@ -40,18 +41,18 @@
   | { readonly kind: 'cold'; readonly share: number }
   | { readonly kind: 'leaving'; readonly source: string }
   | { readonly kind: 'ejected'; readonly until: number; readonly reason: string }
-  /** Ejected, and one call at a time is let through to see whether it recovered. */
+  /** Ejected, but one call at a time is let through to see whether it has recovered. */
   | { readonly kind: 'trial'; readonly reason: string };
 
-/** What the platform's list says of a target. */
+/** The state of a target in the platform's list. */
 export type ListedState = 'live' | 'leaving' | 'gone';
 
-/** What a target is made from. */
+/** Options of a {@link Target}. */
 export interface TargetOptions {
   readonly address: Address;
   readonly domain: string;
   readonly limit: ConcurrencyLimit;
-  /** How long the target is eased in after it appears or says it is cold, in milliseconds. */
+  /** Warm-up time after the target appears or reports that it is cold, in milliseconds. */
   readonly coldStart: number;
   /** Whether the target appeared while the daemon was running. */
   readonly isNew: boolean;
@@ -62,7 +63,9 @@
 const LATENCY_HALF_LIFE_MS = 1000;
 const MAX_REPORT_AGE_MS = 100;
 const MAX_NOTICE_AGE_MS = 30_000;
-/** A target's word that it is leaving is believed this long while the list says that it is live. */
+/**
+ * How long a report of draining is believed while the platform's list says that the target is live.
+ */
 const MAX_DRAINING_AGE_MS = 120_000;
 const MAX_CONSECUTIVE_FAILURES = 5;
 const OUTCOME_WINDOW_CALLS = 20;
@@ -115,7 +118,7 @@
 
   readonly #latency = new DecayingMean(LATENCY_HALF_LIFE_MS);
 
-  /** Attempts by their end, since the start. */
+  /** Attempts by their outcome, since the start. */
   readonly counts = { answered: 0, notRun: 0, failed: 0, cancelled: 0, connections: 0 };
 
   constructor(private readonly options: TargetOptions) {
@@ -130,13 +133,13 @@
     return this.#inFlight;
   }
 
-  /** Calls at the target from other entries, as far as a recent answer told. */
+  /** Calls of other entries at the target, as far as a recent answer reported them. */
   get otherInFlight(): number {
     const age = this.options.clock.now() - this.#otherInFlightAt;
     return age < MAX_REPORT_AGE_MS ? this.#otherInFlight : 0;
   }
 
-  /** The most calls that the target is given now. */
+  /** The maximum number of calls that the target is given now. */
   get limit(): number {
     const fullLimit = this.options.limit.read();
     const state = this.readState();
@@ -155,17 +158,19 @@
     }
   }
 
-  /** Mean time to an answer of late, in milliseconds. */
+  /** Returns the recent mean time to an answer, in milliseconds. */
   readLatency(fallback: number): number {
     return this.#latency.read(fallback);
   }
 
-  /** How long the target has had calls in flight without ending one, in milliseconds. */
+  /**
+   * Returns how long the target has had calls in flight without completing one, in milliseconds.
+   */
   readStall(now: number): number {
     return this.#inFlight === 0 ? 0 : now - this.#progressAt;
   }
 
-  /** Whether the target may be used, by the first witness against it. */
+  /** Returns whether the target may be used, by the first source that says otherwise. */
   readState(): TargetState {
     const now = this.options.clock.now();
     if (this.#listed !== 'live') return { kind: 'leaving', source: `list says ${this.#listed}` };
@@ -186,13 +191,13 @@
     return { kind: 'ready' };
   }
 
-  /** Takes what the platform's list says. */
+  /** Takes the state in the platform's list. */
   updateListedState(state: ListedState): void {
     if (this.#listed !== 'live' && state === 'live') this.#coldSince = this.options.clock.now();
     this.#listed = state;
   }
 
-  /** Takes another entry's notice that the target is leaving. */
+  /** Records another entry's notice that the target is leaving. */
   recordLeavingNotice(): void {
     this.#noticeAt = this.options.clock.now();
   }
@@ -205,7 +210,7 @@
     this.#inFlight += 1;
   }
 
-  /** Counts a call that ended and learns from how it ended. */
+  /** Counts a call that ended and learns from its outcome. */
   finish(end: AttemptEnd, latency: number): void {
     const now = this.options.clock.now();
     const wasFull = this.#inFlight >= this.options.limit.read();
@@ -236,27 +241,28 @@
     }
   }
 
-  /** Ends an ejection, because too many targets are ejected to believe it. */
+  /** Ends an ejection because so many targets are ejected that a shared cause is more likely. */
   clearEjection(): void {
     this.#ejection = undefined;
     this.#outcomes = [];
   }
 
-  /** Learns the outcome of a probe while the target is ejected. */
+  /** Records the result of a health probe; it counts only while the target is ejected. */
   recordProbe(healthy: boolean): void {
     if (this.#ejection === undefined) return;
     if (healthy) this.#recordOutcome(true, 'probe');
   }
 
   /**
-   * Takes what the head of an answer reports, while the answered call still counts as in flight.
-   * The body may take longer, and other calls end meanwhile, so a later moment would count wrongly.
+   * Records what the head of an answer reports, while the answered call still counts as in flight.
+   * By the end of the body, other calls may have ended, and the count would be wrong.
    */
   recordReport(report: TargetReport): void {
     const now = this.options.clock.now();
     if (report.inFlight !== undefined) {
       const otherCalls = Math.max(0, report.inFlight - (this.#inFlight - 1));
-      // One report can be off by calls that are on their way; two that agree are believed.
+      // One report may be off by calls in transit, so a count is used only up to the lower of two
+      // reports.
       this.#otherInFlight = Math.min(otherCalls, this.#lastReported);
       this.#lastReported = otherCalls;
       this.#otherInFlightAt = now;
--- a/src/balance/wait-queue.ts
+++ b/src/balance/wait-queue.ts
@@ -1,9 +1,10 @@
 /**
- * A line of calls that wait for one thing: a free slot at the targets, or this daemon's own processor.
+ * A queue of calls that wait for one resource: a free slot at the targets, or this daemon's own
+ * processor.
  *
- * Those that were let in to be in time go first, the more urgent before the others and then the one whose
- * time runs out first; those that may be late, and then those that are, take what is left over. Whether a
- * call waits at all is judged when it arrives and again as the outlook changes.
+ * Calls admitted as in time go first, by priority and then by the time at which they become late.
+ * Calls that may be late, and then those that are late, get the capacity left over. Whether a call
+ * waits at all is decided when it arrives, and again when the outlook changes.
  */
 import type { Clock, Random } from '../kernel/index.js';
 import {
@@ -15,28 +16,31 @@
   judgeLate,
 } from './admission.js';
 
-/** A call that may wait in a line. Times are in milliseconds. */
+/** A call that may wait in the queue. Times are in milliseconds. */
 export interface QueuedCall {
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** How long the call takes at a usual, idle target. */
+  /** Expected duration at an idle target of usual speed. */
   readonly work: number;
-  /** Whether calls of its route have taught that; nothing is sent back for a guess. */
+  /**
+   * Whether `work` was learned from calls of the route; no call is refused because of an assumed
+   * duration.
+   */
   readonly isWorkKnown: boolean;
-  /** When an answer stops to be fully useful. */
+  /** Time after which an answer is late: still wanted, but no longer fully useful. */
   readonly aimAt: number;
-  /** When the call is given up. */
+  /** Time at which the call is abandoned. */
   readonly deadline: number;
-  /** Most calls of its route run no longer than this many times the expected time. */
+  /** Factor by which most calls of the route stay within the expected time. */
   readonly spread: number;
-  /** Whether it may be sent back to its caller, because no target has had it. */
+  /** Whether it may be refused to its caller, because it was not sent to any target. */
   readonly mayBeRefused: boolean;
 }
 
 /** Calls of a lower rank go first. */
 const RANKS = {
   inTime: 0,
-  /** It would be in time if its turn came now; nothing is kept free for it. */
+  /** It would be in time if it started now, but no capacity is reserved for it. */
   uncertain: 1,
   late: 2,
 } as const;
@@ -45,26 +49,32 @@
 
 interface QueueEntry<C> {
   readonly call: C;
-  /** Whether it was let in among those that can be in time. */
+  /** Whether it was admitted as in time. */
   readonly isAdmittedInTime: boolean;
 }
 
-/** Calls that go before another one. */
+/** Numbers of calls that go before another one. */
 interface AheadCounts {
   readonly inTime: number;
   readonly late: number;
 }
 
-/** A caller that is sent back may return after this long at the earliest, in milliseconds. */
+/** Minimum time after which a refused caller may retry. */
 const MIN_RETRY_DELAY_MS = 100;
 
-/** Callers return spread over this part of the wait, so that they don't meet again. */
+/**
+ * Retry times are spread over this share of the wait, so that refused callers don't return
+ * together.
+ */
 const RETRY_JITTER = 0.5;
 
-/** Overload begins when calls that can be in time fill this part of the starts, and ends below it. */
+/**
+ * Demand at which overload begins: calls that can be in time use this share of the possible starts.
+ * It ends below that.
+ */
 const OVERLOAD_DEMAND = 0.95;
 
-/** One line. */
+/** A queue of waiting calls. */
 export class WaitQueue<C extends QueuedCall> {
   readonly #entries = new Map<C, QueueEntry<C>>();
 
@@ -84,19 +94,21 @@
     private readonly random: Random,
   ) {}
 
-  /** Calls that wait. */
+  /** The number of waiting calls. */
   get size(): number {
     return this.#entries.size;
   }
 
-  /** Notes that a call arrives, whether or not it will wait. */
+  /** Records the arrival of a call, whether or not it will wait. */
   recordArrival(call: C): void {
     if (!this.#isLate(call)) this.#arrivals.record(this.clock.now());
   }
 
   /**
-   * Takes the time between two starts while all is busy, and how many times longer calls take then.
+   * Updates the outlook.
    *
+   * @param pace time between two starts while the resource is fully used, in milliseconds
+   * @param slowdown how many times longer than usual calls take then
    * @param opensIn time until the first start, in milliseconds
    */
   updatePace(pace: number, slowdown: number, opensIn = 0): void {
@@ -108,38 +120,39 @@
     else this.#overloadStart ??= now;
   }
 
-  /** Counts those that go before a call if it is let in to be in time. */
+  /** Returns the number of calls that go before a call that is admitted as in time. */
   countAhead(call: C): number {
     const { inTime, late } = this.#countAhead(call);
     return inTime + late;
   }
 
-  /** Judges a call that has just come and would have to wait. */
+  /** Decides on a call that has just arrived and would have to wait. */
   judge(call: C): Admission {
     const outlook = this.#describeOutlook(this.#countAhead(call));
     const terms = this.#describeTerms(call);
     return this.#isLate(call) ? judgeLate(terms, outlook) : judgeArrival(terms, outlook);
   }
 
-  /** Lets a call in. @param isAdmittedInTime whether among those that can be in time */
+  /** Adds a call. @param isAdmittedInTime whether it goes with the calls in time */
   add(call: C, isAdmittedInTime: boolean): void {
     this.#entries.set(call, { call, isAdmittedInTime });
   }
 
-  /** Takes a call out: its turn has come, its caller has left, or its time is over. */
+  /** Removes a call: it starts, its caller has left, or it is abandoned. */
   remove(call: C): void {
     this.#entries.delete(call);
   }
 
-  /** The calls in the order of their turns. */
+  /** Lists the calls in the order of their turns. */
   list(): readonly C[] {
     return this.#sortEntries().map(({ call }) => call);
   }
 
   /**
-   * Takes out the calls that wait in vain, as the outlook is now, with the wait that each would have.
+   * Removes the calls whose turn is not expected before their deadline; returns them with their
+   * expected wait.
    *
-   * @param includeRepeats whether also those that a target has had before
+   * @param includeRepeats whether to remove also those that were sent to a target before
    */
   removeHopeless(includeRepeats = false): readonly { readonly call: C; readonly wait: number }[] {
     const ahead = { inTime: 0, late: 0 };
@@ -160,7 +173,7 @@
     return removed;
   }
 
-  /** Chooses when a caller may return: after the wait, and not together with others. */
+  /** Chooses the time after which a refused caller may retry: the wait plus a random part. */
   chooseRetryDelay(wait: number): number {
     return Math.max(MIN_RETRY_DELAY_MS, wait * (1 + RETRY_JITTER * this.random.next()));
   }
--- a/src/balance/window-budget.ts
+++ b/src/balance/window-budget.ts
@@ -1,17 +1,17 @@
 /**
- * A budget for repeats that holds in every sliding window: a share of the requests, and a slack.
+ * A retry budget that holds in every sliding window: a share of the requests, plus a slack.
  *
- * The budget belongs to all daemons together. Each spends its share of its own requests, which sums
- * to the whole without a message; the slack is divided by the number of homes, and by two, because
- * after a change of homes the old and the new ones fall into one window.
+ * The budget belongs to all daemons together. Each uses its share of its own requests, and these
+ * add up to the whole without any message. The slack is divided by the number of homes, and by two,
+ * because after a change of homes the old and the new ones may fall into the same window.
  */
 import type { Clock } from '../kernel/index.js';
 
-/** What the operators agreed on. */
+/** The terms agreed with the operators. */
 export interface WindowBudgetTerms {
-  /** Repeats allowed for each request. */
+  /** Retries allowed per request. */
   readonly ratio: number;
-  /** Repeats allowed besides, in this daemon. */
+  /** Retries allowed on top of that, in this daemon. */
   readonly slack: number;
   /** Length of the window in milliseconds. */
   readonly window: number;
@@ -23,17 +23,20 @@
   repeats: number;
 }
 
-/** Slices of a window; what is counted lags by at most one of them, on the careful side. */
+/** Slices per window. A count may lag by one slice, which only makes the budget smaller. */
 const SLICES_PER_WINDOW = 40;
 
-/** The part of the share that is used, since counts of two daemons differ by what is under way. */
+/**
+ * Share of the ratio that is used, because the counts of two daemons differ by the calls in
+ * progress.
+ */
 const SAFETY_SHARE = 0.85;
 
-/** Counts the requests and repeats of one service in this daemon. */
+/** The requests and retries of one service in this daemon. */
 export class WindowBudget {
   #slices: readonly Slice[] = [];
 
-  /** Repeats let through and turned down since the start. */
+  /** Retries allowed and denied since the start. */
   readonly counts = { spent: 0, denied: 0 };
 
   constructor(
@@ -46,7 +49,7 @@
     this.#findCurrentSlice().requests += 1;
   }
 
-  /** Takes one repeat if the budget of the last window allows it. */
+  /** Takes one retry; false if the budget of the last window does not allow it. */
   spend(): boolean {
     const slice = this.#findCurrentSlice();
     const { ratio, slack } = this.readTerms();
@@ -71,7 +74,7 @@
     const last = this.#slices.at(-1);
     if (last !== undefined && last.index === index) return last;
     const slice: Slice = { index, requests: 0, repeats: 0 };
-    // One slice more than the window holds, so that no span of its length is counted short.
+    // Keeps one slice more than the window has, so that no span of its length is undercounted.
     this.#slices = [
       ...this.#slices.filter((past) => past.index >= index - SLICES_PER_WINDOW),
       slice,
