--- a/test/balance.test.ts
+++ b/test/balance.test.ts
@@ -1,4 +1,7 @@
-/** The decisions: which target, who waits, who is refused, who is left out. */
+/**
+ * The decisions of an entry: which target a call gets, which calls wait or are refused, and which
+ * targets are ejected.
+ */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import {
@@ -68,15 +71,15 @@
     setImmediate(resolve);
   });
 
-describe('pool', () => {
-  describe('slots', () => {
-    it('are given to the least busy target, never beyond its limit', async () => {
+describe('Pool', () => {
+  describe('takeSlot', () => {
+    it('chooses the least busy target and never exceeds a limit', async () => {
       const bench = new Bench(3, 2);
       for (let turn = 0; turn < 6; turn += 1) await bench.take();
       expect(bench.targets.map(({ inFlight }) => inFlight)).to.deep.equal([2, 2, 2]);
     });
 
-    it('are given to who waits when one is released', async () => {
+    it('gives a released slot to a waiting call', async () => {
       const bench = new Bench(1, 1);
       const first = await bench.take();
       const second = bench.ask();
@@ -85,7 +88,7 @@
       expect((await second).kind).to.equal('slot');
     });
 
-    it('are not given past the longest wait, and the refusal is immediate then', async () => {
+    it('refuses a waiting call once the maximum wait of its class is over', async () => {
       const bench = new Bench(1, 1);
       await bench.take();
       const waiting = bench.ask({ class: { ...NORMAL, wait: 50 } });
@@ -93,7 +96,7 @@
       expect(await waiting).to.include({ kind: 'refused', reason: 'wait-too-long' });
     });
 
-    it('are refused at once when the wait would be longer than the deadline', async () => {
+    it('refuses a call at once if its expected wait exceeds its deadline', async () => {
       const bench = new Bench(1, 1);
       const slow = await bench.take();
       await bench.clock.advance(500);
@@ -103,14 +106,14 @@
       expect(await bench.ask({ deadline })).to.include({ reason: 'wait-too-long' });
     });
 
-    it('are refused when no target is left, with a time to come back', async () => {
+    it('refuses a call when there is no target, with a retry time', async () => {
       const bench = new Bench(0, 1);
       const refused = await bench.ask();
       expect(refused).to.include({ kind: 'refused', reason: 'no-target' });
       expect(refused.kind === 'refused' && refused.retryAfter).to.be.above(0);
     });
 
-    it('are not waited for by a caller that goes away', async () => {
+    it('removes a waiting call when its caller disconnects', async () => {
       const bench = new Bench(1, 1);
       await bench.take();
       const abort = new AbortController();
@@ -122,7 +125,7 @@
   });
 
   describe('a policy that holds calls back', () => {
-    it('keeps them to their share while others pass', async () => {
+    it('limits its calls to their share of the slots and lets other calls pass', async () => {
       const bench = new Bench(2, 5);
       const hold = { policy: 'uploads', share: 0.2 };
       await bench.take({ hold });
@@ -138,24 +141,24 @@
   });
 
   describe('invariants', () => {
-    it('a slot released twice stops the process', async () => {
+    it('releasing a slot twice is an invariant error', async () => {
       const slot = await new Bench(1, 1).take();
       slot.release(ANSWERED);
       expect(() => slot.release(ANSWERED)).to.throw(InvariantError);
     });
 
-    it('a call started at a leaving target stops the process', () => {
+    it('starting a call at a leaving target is an invariant error', () => {
       const [target] = new Bench(1, 1).targets;
       target?.updateListedState('leaving');
       expect(() => target?.start()).to.throw(InvariantError);
     });
 
-    it('more ends than starts stop the process', () => {
+    it('finishing more calls than were started is an invariant error', () => {
       const [target] = new Bench(1, 1).targets;
       expect(() => target?.finish(ANSWERED, 1)).to.throw(InvariantError);
     });
 
-    it('hold in long random runs', async () => {
+    it('hold in long random runs: calls in flight equal the slots held', async () => {
       await fc.assert(
         fc.asyncProperty(
           fc.array(fc.integer({ min: 0, max: 9 }), { minLength: 20, maxLength: 200 }),
@@ -185,12 +188,12 @@
   });
 });
 
-describe('target', () => {
+describe('Target', () => {
   const failTimes = async (bench: Bench, count: number) => {
     for (let turn = 0; turn < count; turn += 1) (await bench.take()).release(FAILED);
   };
 
-  it('is left out after failures in a row, and comes back by trials', async () => {
+  it('is ejected after consecutive failures and readmitted after successful trials', async () => {
     const bench = new Bench(4, 1);
     const [first, ...others] = bench.targets as [Target, ...Target[]];
     for (let turn = 0; turn < 5; turn += 1) {
@@ -208,14 +211,14 @@
     expect(others.every((target) => target.readState().kind === 'ready')).to.equal(true);
   });
 
-  it('is used all the same when most look ill', async () => {
+  it('stays in use when most targets fail, as the cause is then likely shared', async () => {
     const bench = new Bench(4, 1);
     await failTimes(bench, 60);
     const usable = bench.targets.filter((target) => target.limit > 0);
     expect(usable.length).to.be.at.least(2);
   });
 
-  it('that fails fast gets few calls before it is left out', async () => {
+  it('that fails fast gets few calls before it is ejected', async () => {
     const bench = new Bench(10, 4);
     const [bad] = bench.targets;
     let failures = 0;
@@ -228,7 +231,7 @@
     expect(failures).to.be.below(30);
   });
 
-  it('that holds calls without ending any is avoided within a few service times', async () => {
+  it('that stops completing calls is avoided within a few service times', async () => {
     const bench = new Bench(5, 4);
     const [hanging] = bench.targets;
     for (let turn = 0; turn < 50; turn += 1) {
@@ -250,11 +253,17 @@
   });
 
   const SIGNS: readonly { what: string; sign: (target: Target) => void }[] = [
-    { what: 'the list says leaving', sign: (target) => target.updateListedState('leaving') },
-    { what: 'the list lost it', sign: (target) => target.updateListedState('gone') },
-    { what: 'another entry says so', sign: (target) => target.recordLeavingNotice() },
     {
-      what: 'its own word',
+      what: 'the list says that it is leaving',
+      sign: (target) => target.updateListedState('leaving'),
+    },
+    { what: 'it is missing from the list', sign: (target) => target.updateListedState('gone') },
+    {
+      what: 'another entry reports that it is leaving',
+      sign: (target) => target.recordLeavingNotice(),
+    },
+    {
+      what: 'it reports that it is draining',
       sign: (target) => {
         target.start();
         target.recordReport({ state: 'draining', inFlight: 0 });
@@ -263,7 +272,7 @@
     },
   ];
   for (const { what, sign } of SIGNS) {
-    it(`gets nothing new once ${what}`, async () => {
+    it(`gets no new calls once ${what}`, async () => {
       const bench = new Bench(2, 4);
       const [leaving] = bench.targets as [Target];
       sign(leaving);
@@ -272,7 +281,7 @@
     });
   }
 
-  it('heals from a wrong notice and from a word that is taken back', async () => {
+  it('is used again once a wrong notice has expired', async () => {
     const bench = new Bench(1, 1);
     const [target] = bench.targets as [Target];
     target.recordLeavingNotice();
@@ -280,7 +289,7 @@
     expect(target.readState().kind).to.equal('ready');
   });
 
-  it('that is new is eased in', async () => {
+  it('that is new gets more calls step by step while it warms up', async () => {
     const bench = new Bench(0, 1);
     const target = bench.createTarget(1, 10, 5000);
     expect(target.limit).to.equal(2);
@@ -291,12 +300,12 @@
   });
 });
 
-describe('queue', () => {
+describe('CallQueue', () => {
   const item = (className: ClassConfig, caller: string) => ({
     ...{ class: className, caller, hold: undefined },
   });
 
-  it('shares the slots by weight', () => {
+  it('shares the slots between classes by weight', () => {
     const queue = new CallQueue<ReturnType<typeof item>>();
     for (let turn = 0; turn < 100; turn += 1) {
       queue.add(item(NORMAL, 'a'));
@@ -309,7 +318,7 @@
     expect(urgent).to.be.within(38, 42);
   });
 
-  it('lets callers take turns', () => {
+  it('alternates between callers, however many calls each has waiting', () => {
     const queue = new CallQueue<ReturnType<typeof item>>();
     for (let turn = 0; turn < 10; turn += 1) queue.add(item(NORMAL, 'greedy'));
     queue.add(item(NORMAL, 'modest'));
@@ -318,8 +327,8 @@
   });
 });
 
-describe('budget', () => {
-  it('lets through its share, also over many calls', () => {
+describe('ShareBudget', () => {
+  it('allows exactly its share over many calls', () => {
     const budget = new ShareBudget(10);
     let spent = 0;
     for (let turn = 0; turn < 10_000; turn += 1) {
@@ -331,8 +340,8 @@
   });
 });
 
-describe('adaptive limit', () => {
-  it('grows while latency stays and shrinks when it rises', () => {
+describe('adaptive concurrency limit', () => {
+  it('grows while latency is stable and shrinks when latency rises', () => {
     const limit = createAdaptiveLimit(50);
     for (let turn = 0; turn < 200; turn += 1) limit.recordAnswer(10, true);
     const grown = limit.read();
@@ -342,7 +351,7 @@
   });
 });
 
-describe('homes', () => {
+describe('homes of a service', () => {
   const createEntries = (count: number): readonly HomeCandidate[] =>
     Array.from({ length: count }, (_, index) => ({
       id: `id-${index}`,
@@ -351,18 +360,18 @@
     }));
   const names = Array.from({ length: 30 }, (_, index) => `10.0.0.${index}:80`);
 
-  it('stand in different failure domains', () => {
+  it('are in different failure domains', () => {
     const requirements = { name: 'ledger', homes: 3, expected_rate: 1, needed: 1 };
     const { homes } = planHomes(requirements, createEntries(17));
     expect(new Set(homes.map(({ domain }) => domain)).size).to.equal(3);
   });
 
-  it('follow from the rate', () => {
+  it('are as many as the expected rate needs', () => {
     const requirements = { name: 'ledger', homes: 0, expected_rate: 4000, needed: 1 };
     expect(planHomes(requirements, createEntries(17)).homes).to.have.length(3);
   });
 
-  it('follow from the measured load, up at once and down after a minute', () => {
+  it('are as many as the measured load needs: added at once, removed after a minute', () => {
     const board = new LoadBoard();
     const report = (rate: number, now: number) =>
       board.add({ service: 's', entry: 'a', rate, age: 0 }, now);
@@ -376,7 +385,7 @@
     expect(board.list(90_000)).to.deep.equal([]);
   });
 
-  it('share the targets evenly, each target with one home', () => {
+  it('divide the targets evenly, each target belonging to one home', () => {
     fc.assert(
       fc.property(fc.integer({ min: 1, max: 9 }), (count) => {
         const homes = createEntries(count);
@@ -390,7 +399,7 @@
     );
   });
 
-  it('move few services when an entry goes', () => {
+  it('change for few services when an entry leaves', () => {
     const entries = createEntries(17);
     const [removed, ...rest] = entries;
     let moved = 0;
@@ -403,7 +412,7 @@
     expect(moved).to.be.below(10);
   });
 
-  it('know the region of a failure domain', () => {
+  it('have a region, the part of a failure domain before the slash', () => {
     expect(parseRegion('hu/bud1')).to.equal('hu');
     expect(parseRegion('alone')).to.equal('alone');
   });
--- a/test/failure-rate.test.ts
+++ b/test/failure-rate.test.ts
@@ -1,7 +1,8 @@
 /**
- * Pattern: two thirds of a service's targets reject more than half of what they are sent, with health checks that
- * are good and slots that are free. Seen on the users' platform for eight seconds: each home sends a target less than
- * a call a second, and a fifth of all sends was rejected, until the budget for repeats was spent.
+ * Guards against grey failures: two thirds of a service's targets reject more than half of their
+ * calls, while their health checks pass and their slots are free. A home sends each target less
+ * than one call a second, so a fifth of all calls was rejected for eight seconds, until the retry
+ * budget was used up.
  */
 import { expect } from 'chai';
 import { FailureRate, chooseTarget, drawCandidates } from '../src/balance/index.js';
@@ -21,7 +22,7 @@
   slowdown: number;
 }
 
-/** Sends the calls of one home for ten seconds; returns the part rejected in the last seven. */
+/** Sends the calls of one home for ten seconds; returns the rejected share of the last seven. */
 function runHome(seed: number): number {
   const random = createSeededRandom(seed);
   const targets: SimulatedTarget[] = Array.from({ length: TARGETS }, (_, index) => ({
@@ -75,11 +76,11 @@
 }
 
 describe('grey targets', () => {
-  it('get few of the calls once each has had some', () => {
+  it('get few of the calls once each has had some calls', () => {
     for (let seed = 1; seed <= 5; seed += 1)
       expect(runHome(seed), `seed ${seed}`).to.be.below(0.08);
   });
-  it('do not make calls wait for full targets once most of a service has failed', () => {
+  it('do not make calls wait for long for full targets when most targets of a service have failed', () => {
     const random = createSeededRandom(1);
     const usual = { slots: 4, slowdown: 1, coldFactor: 1, isSuspect: false, isOtherDomain: false };
     const free = { ...usual, calls: 0, failureRatio: 2 };
@@ -87,7 +88,7 @@
     const candidates = [...Array(20).fill(free), ...Array(10).fill(full)] as (typeof free)[];
     const terms = { callsAhead: 0, callRatio: 3, targetsPerCandidate: 4, random, bodyBytes: 0 };
     const short = chooseTarget(candidates, (load) => load, { ...terms, callsAhead: 0 });
-    // A target that fails two of three is worth a short wait, and no long one.
+    // To avoid a target that fails two of three calls is worth a short wait, but not a long one.
     expect(short.kind).to.equal('wait');
     const long = chooseTarget(candidates, (load) => load, { ...terms, callsAhead: 120 });
     expect(long.kind).to.equal('now');
@@ -95,7 +96,7 @@
     const soon = chooseTarget(recovered, (load) => load, { ...terms, callsAhead: 30 });
     expect(soon.kind).to.equal('now');
   });
-  it('are weighed by failures against successes', () => {
+  it('are rated by recent failures per recent success', () => {
     const rate = new FailureRate();
     expect(rate.read(0)).to.equal(0);
     rate.recordFailure(0);
--- a/test/load.test.ts
+++ b/test/load.test.ts
@@ -38,10 +38,10 @@
   },
 };
 
-describe('what is believed of a target', () => {
+describe('the load estimate of a target', () => {
   const report = { running: 2, waiting: 0, slots: 3, slowdown: 7 };
 
-  it("counts own calls exactly and the other homes' as they told", () => {
+  it("counts own calls exactly, and other homes' calls as they report them", () => {
     const estimate = new LoadEstimate();
     estimate.start(0);
     estimate.observeHomeCalls('b', 2, 10);
@@ -51,7 +51,7 @@
     estimate.finish();
     expect(estimate.countCalls(31, 3)).to.equal(1);
   });
-  it('adds from a report only what nobody told of', () => {
+  it('adds only those calls from a report that no home accounts for', () => {
     const estimate = new LoadEstimate();
     estimate.observeHomeCalls('b', 2, 0);
     estimate.observeReport({ ...report, running: 2 }, 0, 10);
@@ -59,7 +59,7 @@
     estimate.observeReport({ ...report, running: 3, waiting: 3 }, 0, 20);
     expect(estimate.countCalls(21, 2)).to.equal(5);
   });
-  it('takes a report where a home is silent, and its own share times the homes without either', () => {
+  it('uses a report when a home is silent, and the own calls times the homes without either', () => {
     const estimate = new LoadEstimate();
     estimate.start(0);
     expect(estimate.countCalls(1, 3)).to.equal(3);
@@ -67,13 +67,13 @@
     expect(estimate.countCalls(101, 3)).to.equal(2);
     expect(estimate.countCalls(5000, 3)).to.equal(3);
   });
-  it('a call that is still on its way is not in a report', () => {
+  it('assumes that a report does not include a call that is still in transit', () => {
     const estimate = new LoadEstimate();
     estimate.start(0);
     estimate.start(99);
     expect(estimate.countArrived(100)).to.equal(1);
   });
-  it('believes the newest word of a slowdown, whoever heard it', () => {
+  it('keeps the latest slowdown, whichever daemon observed it', () => {
     const estimate = new LoadEstimate();
     estimate.observeReport(report, 0, 1000);
     expect(estimate.observeSlowdown(1, 900)).to.equal(false);
@@ -83,22 +83,22 @@
   });
 });
 
-describe('advice for a call', () => {
+describe('the choice of a target for a call', () => {
   const random = createSeededRandom(3);
   const terms = { callsAhead: 0, callRatio: 1, targetsPerCandidate: 1, random, bodyBytes: 0 };
   const findChoice = (loads: readonly CandidateLoad[], callsAhead = 0) =>
     chooseTarget(loads, (load) => load, { ...terms, callsAhead });
 
-  it('names the quick and idle one', () => {
+  it('is the fast and idle one', () => {
     const fast = { ...IDLE, calls: 1 };
     const choice = findChoice([{ ...IDLE, slowdown: 7 }, fast, { ...IDLE, failureRatio: 2 }]);
     expect(choice).to.have.property('candidate', fast);
   });
-  it('waits for a quick one rather than go to a slow one', () => {
+  it('is to wait for a fast target rather than use a slow one', () => {
     const full = { ...IDLE, calls: 3 };
     expect(findChoice([full, full, { ...IDLE, slowdown: 7 }]).kind).to.equal('wait');
   });
-  it('goes to a slow one when too many wait', () => {
+  it('is a slow target when too many calls wait', () => {
     const choice = findChoice(
       [
         { ...IDLE, calls: 3 },
@@ -108,7 +108,7 @@
     );
     expect(choice.kind).to.equal('now');
   });
-  it('keeps a long body in its domain where a free target there is quick', () => {
+  it('keeps a long body in its failure domain if a free target there is fast', () => {
     const sameDomain = { ...IDLE, calls: 2 };
     const otherDomain = { ...IDLE, isOtherDomain: true };
     const slow = { ...IDLE, slowdown: 7 };
@@ -123,8 +123,8 @@
     expect(findForBody([slow, otherDomain], 60_000)).to.have.property('candidate', otherDomain);
     expect(findForBody([full, otherDomain], 400_000)).to.have.property('candidate', otherDomain);
   });
-  it('says so when there is none', () => expect(findChoice([]).kind).to.equal('none'));
-  it('costs more for failures, doubt, cold and distance', () => {
+  it('is none without targets', () => expect(findChoice([]).kind).to.equal('none'));
+  it('assigns a higher cost to failures, suspicion, cold targets, other domains and load', () => {
     for (const worse of [
       { failureRatio: 1 },
       { isSuspect: true },
@@ -146,10 +146,20 @@
   for (const [what, changes, left, reason] of [
     ['is not needed while the first is in time', {}, {}, 'none'],
     ['is needed when the first will be late', makeFirst(0, 1.4), { untilAim: 80 }, 'late'],
-    ['rescues a call whose target turned slow', makeFirst(20, 7), {}, 'rescue'],
-    ['takes the last chance to be in time', makeFirst(100, 1), { untilAim: 70 }, 'last-chance'],
-    ['is no last chance after the aim', makeFirst(80, 1), { untilAim: -10 }, 'late'],
-    ['is no last chance while the first will do', makeFirst(30, 1), { untilAim: 75 }, 'none'],
+    ['rescues a call whose target has become slow', makeFirst(20, 7), {}, 'rescue'],
+    [
+      'is sent as the last chance to be in time',
+      makeFirst(100, 1),
+      { untilAim: 70 },
+      'last-chance',
+    ],
+    ['is no last chance once the answer is late', makeFirst(80, 1), { untilAim: -10 }, 'late'],
+    [
+      'is no last chance while the first is likely to be in time',
+      makeFirst(30, 1),
+      { untilAim: 75 },
+      'none',
+    ],
   ] as const) {
     it(`${what}: ${reason}`, () => {
       expect(findSecondAttemptReason({ ...first, ...changes }, { ...time, ...left })).to.equal(
@@ -157,33 +167,33 @@
       );
     });
   }
-  it('goes only where it is expected to end sooner, and before the deadline', () => {
+  it('is sent only to a target where it is expected to end sooner, and before the deadline', () => {
     const slow = makeFirst(20, 7);
     expect(isQuicker(slow, 1, time)).to.equal(true);
     expect(isQuicker(slow, 6, time)).to.equal(false);
     expect(isQuicker(slow, 1, { ...time, untilDeadline: 50 })).to.equal(false);
   });
-  // Found beside a busy bench: the moment of the last chance passed unseen, and a request stayed with
-  // a mute target until its deadline, because little work seemed left of it.
-  it('is worth it for an attempt that is long overdue, also after the aim', () => {
+  // Guards against a request that stays with an unresponsive target until its deadline: under load,
+  // the moment of the last chance was missed, and little work seemed left afterwards.
+  it('is sent for an attempt that is long overdue, even once the answer is late', () => {
     const overdue = makeFirst(400, 1);
     const late = { untilAim: -100, untilDeadline: 1000 };
     expect(findSecondAttemptReason(overdue, late)).to.equal('rescue');
     expect(isQuicker(overdue, 1, late)).to.equal(true);
   });
-  it('finds an attempt stuck at four times its expected time, where none is known to be as slow', () => {
+  it('treats an attempt as stuck at four times its expected time, unless targets are known to be as slow', () => {
     const judge = (elapsed: number, slowdown: number, slow: number) =>
       isStuck({ ...makeFirst(elapsed, slowdown), slow, spread: 1.2 });
     expect(judge(230, 1, 2)).to.equal(false);
     expect(judge(250, 1, 2)).to.equal(true);
     expect(judge(250, 7, 2)).to.equal(false);
-    // Targets that are five times as slow are no reason to doubt one of them.
+    // If targets are known to be five times slower, an attempt is not stuck that early.
     expect(judge(350, 1, 5)).to.equal(false);
     expect(judge(370, 1, 5)).to.equal(true);
   });
-  // A call runs as slowly as its target was when it began. One that takes longer than its work varies
-  // met a slow target, and there is just time to begin anew.
-  it('is sent as soon as a call takes longer than it would at a quick target', () => {
+  // A call runs as slowly as its target was when it began. One that exceeds the spread of its route
+  // met a slow target, and there is just time for a new attempt.
+  it('is sent as soon as a call takes longer than it would at a fast target', () => {
     const call = { work: 220, slowdown: 1.1, slow: 5, spread: 1.35 };
     const judgeAt = (elapsed: number) =>
       findSecondAttemptReason(
@@ -198,8 +208,8 @@
   });
 });
 
-describe('the knee of a service', () => {
-  it('keeps to fewer calls where the last slots bring nothing, and to all where they do', () => {
+describe('the knee estimate of a service', () => {
+  it('lowers the limit where the last slots add no throughput, and not where they do', () => {
     const [withKnee, withoutKnee] = [new KneeEstimate(), new KneeEstimate()];
     for (let index = 0; index < 200; index += 1) {
       for (const [estimate, factor] of [
@@ -216,15 +226,15 @@
     expect(withoutKnee.findConcurrencyLimit(3)).to.equal(3);
     expect(withoutKnee.findConcurrencyLimit(1)).to.equal(1);
   });
-  it('changes nothing before it has seen enough', () => {
+  it('does not lower the limit before there are enough samples', () => {
     const estimate = new KneeEstimate();
     estimate.observe(9, [1, 1], 0);
     expect(estimate.findConcurrencyLimit(6)).to.equal(6);
   });
 });
 
-describe('the budget for repeats', () => {
-  it('holds in every sliding window, whatever the daemons do', async () => {
+describe('the retry budget', () => {
+  it('holds in every sliding window, however requests and retries arrive', async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.array(fc.tuple(fc.integer({ min: 1, max: 400 }), fc.integer({ min: 0, max: 9 })), {
@@ -248,7 +258,7 @@
           const countIn = (times: readonly number[], end: number) =>
             times.filter((at) => at > end - terms.window && at <= end).length;
           for (const end of repeats) {
-            // The slice that the window cuts may hold some requests that lie before it.
+            // The slice that the window cuts may include some requests from before it.
             const allowed = terms.ratio * (countIn(requests, end) + 250) + terms.slack;
             expect(countIn(repeats, end)).to.be.at.most(allowed);
           }
@@ -257,7 +267,7 @@
       { numRuns: 5, seed: 11 },
     );
   });
-  it('is spent and comes back after the window', async () => {
+  it('is used up and available again after the window', async () => {
     const clock = new ManualClock();
     const budget = new WindowBudget(clock, () => ({ ratio: 0, slack: 2, window: 1000 }));
     expect([budget.spend(), budget.spend(), budget.spend()]).to.deep.equal([true, true, false]);
@@ -312,8 +322,8 @@
     await clock.advance(20);
   }
 
-  // Found on the users' bench: all that waited were given to the same free slot at once.
-  it('are given one slot each, since a slot counts when it is granted', async () => {
+  // Guards against giving the same free slot to all waiting calls at once.
+  it('get one slot each, because a slot counts as used when it is granted', async () => {
     order.length = 0;
     const asked = [ask('a'), ask('b'), ask('c')];
     await clock.advance(20);
@@ -325,7 +335,7 @@
     await Promise.all(asked);
     expect(target.load.inFlight).to.equal(1);
   });
-  it('go by what can be in time, then priority, then the time left', async () => {
+  it('are ordered by whether they can be in time, then priority, then the time left', async () => {
     order.length = 0;
     await ask('first');
     const asked = [
@@ -338,8 +348,8 @@
     await Promise.all(asked);
     expect(order).to.deep.equal(['first', 'urgent', 'sooner', 'later', 'late']);
   });
-  // A slot for a call that can't be answered in time is lost for others, and its caller hears of it last.
-  it('are sent back rather than sent to a target that would not answer before the deadline', async () => {
+  // A slot for a call that can't be answered in time is wasted, and the caller learns of it last.
+  it('are refused rather than sent to a target that would not answer before the deadline', async () => {
     slowdown = 7;
     const unknown = { deadline: 300, mayBeRefused: true, isWorkKnown: false };
     expect((await ask('nothing is known of', unknown)).kind).to.equal('target');
@@ -352,21 +362,22 @@
     limit = 2;
     expect((await ask('quick', { deadline: 300, mayBeRefused: true })).kind).to.equal('target');
   });
-  // Seen on the users' platform: callers were sent away for three seconds and more, the time of their call at a target
-  // that was slow just then, and returned too late while all the others were idle.
-  it('are sent back for the time of a usual call, however slow the target is that was free', async () => {
+  // Guards against retry times computed from the target that was free but slow at that moment:
+  // callers were refused for three seconds and more, and returned too late while all other targets
+  // were idle.
+  it('are refused with the retry time of a usual call, however slow the free target is', async () => {
     slowdown = 7;
     const answer = await ask('tight', { deadline: 300, mayBeRefused: true });
     expect(answer.kind === 'refused' ? answer.wait : Infinity).to.be.within(50, 100);
   });
-  it('are sent back at once when their turn would not come in time, with the time to wait', async () => {
+  it('are refused at once, with a retry time, when their turn would not come in time', async () => {
     order.length = 0;
     await ask('first');
     const answer = await ask('tight', { aimAt: 90, deadline: 90, mayBeRefused: true });
     expect(answer).to.include({ kind: 'refused', reason: 'no-room' });
     expect(answer).to.have.property('wait').that.is.greaterThan(0);
   });
-  it('are sent back as soon as their turn is no more expected in time, and forgotten when they leave', async () => {
+  it('are refused as soon as their turn is no longer expected in time, and removed when the caller leaves', async () => {
     order.length = 0;
     await ask('first');
     const waiting = ask('waiting', { aimAt: 300, deadline: 400, mayBeRefused: true });
@@ -382,22 +393,22 @@
   });
 });
 
-describe('the homes that a caller is told', () => {
+describe('the homes in the answer to a look-up', () => {
   const makeHome = (ip: string, domain: string) => ({ ip, domain, capacity: 1, isSenior: true });
   const [a, b, c] = [makeHome('a', 'd1'), makeHome('b', 'd2'), makeHome('c', 'd3')];
   const second = makeHome('e', 'd1');
   const random = createSeededRandom(3);
 
-  it('are the near one and the next in order, so that each is the spare of one other', () => {
+  it('are the one in the own domain and the next in order, so that each backs up one other', () => {
     expect(chooseHomes([a, b, c], 'd1', random)).to.deep.equal([a, b]);
     expect(chooseHomes([a, b, c], 'd2', random)).to.deep.equal([b, c]);
     expect(chooseHomes([a, b, c], 'd3', random)).to.deep.equal([c, a]);
   });
-  it('are all near ones and one spare', () => {
+  it('are all in the own domain and one in another as a backup', () => {
     expect(chooseHomes([a, b, c, second], 'd1', random)).to.deep.equal([a, second, b]);
     expect(chooseHomes([a, second], 'd1', random)).to.deep.equal([a, second]);
   });
-  it('are weak ones the less often the weaker they are, and a strong spare', () => {
+  it('include a home less often the lower its capacity is, and a backup with high capacity', () => {
     const strong = { ...makeHome('s', 'd1'), capacity: 1.35 };
     const weakHomes = [1, 2, 3].map((index) => ({
       ...makeHome(`w${index}`, 'd1'),
@@ -418,28 +429,28 @@
     for (const { ip } of weakHomes)
       expect((calls.get(ip) ?? 0) / strongCalls).to.be.within(0.1, 0.3);
   });
-  it('are all of them for a caller from elsewhere', () => {
+  it('are all of them for a caller from another domain', () => {
     expect(chooseHomes([a, b], 'd9', random)).to.deep.equal([a, b]);
     expect(chooseHomes([], 'd1', random)).to.deep.equal([]);
   });
 });
 
-describe('what is left of an aim', () => {
+describe('the time left of a target latency', () => {
   const route = { name: 'r', targetLatency: 200 } as Route;
-  it('counts what the caller spent before it sent the request', () => {
+  it('subtracts what the caller used before it sent the request', () => {
     const aims = new LatencyBudgets();
     for (let count = 0; count < 3; count += 1) expect(aims.read(route, 1000, 0)).to.equal(184);
     expect(aims.read(route, 945, 1)).to.equal(129);
     expect(aims.read(route, NaN, 1)).to.equal(184);
   });
-  // Callers count from their first try: who was sent back, or lost its connection, stays late.
-  it('does not begin anew for a caller that returns', () => {
+  // Callers count from their first attempt: one that was refused or lost its connection stays late.
+  it('does not start again for a caller that retries', () => {
     const aims = new LatencyBudgets();
     for (let count = 0; count < 3; count += 1) aims.read(route, 1000, 0);
     expect(aims.read(route, 600, 1)).to.equal(-216);
     expect(aims.read(route, 845, 1)).to.equal(29);
   });
-  it('is not misled by one odd caller, and forgets what is stated no more', () => {
+  it('is not changed by one unusual caller, and forgets deadlines that are no longer sent', () => {
     const aims = new LatencyBudgets();
     for (let count = 0; count < 3; count += 1) aims.read(route, 1000, 0);
     aims.read(route, 60_000, 1);
@@ -451,14 +462,15 @@
   });
 });
 
-// Seen on the users' platform: callers' time budgets lay 15 in 100 apart, 830 ms for a route with an aim of 334 ms, and
-// 269 of 1,500 answers in two quiet seconds were taken for late where 20 were.
-describe('what is left of the aims of callers who are not equally patient', () => {
+// Guards against answers that count as late only because callers' timeouts differ: with timeouts
+// spread over 15 %, 830 ms on a route with a target latency of 334 ms, 269 of 1,500 answers in two
+// quiet seconds were counted as late where 20 were.
+describe('the time left of a target latency when callers have different timeouts', () => {
   const route = { name: 'r', targetLatency: 334 } as Route;
   const random = createSeededRandom(9);
   const drawTimeout = () => 5541 * (0.85 + 0.15 * random.next());
 
-  it('is nearly all of it at their first tries', () => {
+  it('is nearly all of it at a first attempt', () => {
     const aims = new LatencyBudgets();
     for (let count = 0; count < 200; count += 1) aims.read(route, drawTimeout(), count * 10);
     const left = Array.from({ length: 400 }, (_, count) =>
@@ -466,7 +478,7 @@
     );
     expect(left.filter((it) => it < 200).length / left.length).to.be.below(0.1);
   });
-  it('is less for those that return, also where these are many', () => {
+  it('is less for callers that retry, even if many do', () => {
     const aims = new LatencyBudgets();
     for (let count = 0; count < 600; count += 1) {
       const spent = count % 3 === 0 ? 1500 : 0;
@@ -474,7 +486,7 @@
     }
     expect(aims.read(route, 5541 * 0.85 - 1500, 6000)).to.be.below(0);
   });
-  it('is exact where all are equally patient, also while half of them return', () => {
+  it('is exact if all timeouts are equal, even if half of the callers retry', () => {
     const aims = new LatencyBudgets();
     for (let count = 0; count < 200; count += 1) {
       aims.read(route, count % 2 === 0 ? 5541 : 4000, count * 10);
@@ -516,11 +528,11 @@
     { kind: 'cases', poisonReports: [{ request: 'q1', ended: [7], releases: [], age: 3 }] },
   ];
   for (const sample of samples) {
-    it(`${sample.kind} arrives as it was sent`, () => {
+    it(`${sample.kind} is decoded as it was encoded`, () => {
       expect(decodeDatagram(encodeDatagram(sample))).to.deep.equal(sample);
     });
   }
-  it('an age that nobody knows stays unknown', () => {
+  it('an unknown age stays unknown', () => {
     const [, tell] = samples;
     if (tell.kind !== 'tell') throw new Error('expected tell');
     const unknown = {
@@ -529,7 +541,7 @@
     };
     expect(decodeDatagram(encodeDatagram(unknown))).to.deep.equal(unknown);
   });
-  it('anything else is dropped', () => {
+  it('random bytes are dropped without an error', () => {
     fc.assert(
       fc.property(fc.uint8Array({ maxLength: 40 }), (bytes) => {
         expect(() => decodeDatagram(bytes)).to.not.throw();
@@ -540,7 +552,7 @@
 });
 
 describe('the log on standard output', () => {
-  it('bounds the lines of one event and counts what it dropped', async () => {
+  it('limits the lines of one event and counts those it dropped', async () => {
     const clock = new ManualClock();
     const lines: string[] = [];
     const sink = { writableLength: 0, write: (text: string) => lines.push(text) > 0 };
--- a/test/poison-record.test.ts
+++ b/test/poison-record.test.ts
@@ -15,7 +15,7 @@
 
 const makeEnd = (target: number, release = 'v1') => ({ target, release });
 
-describe('the record of requests under which targets end', () => {
+describe('the record of requests that targets ended while running', () => {
   let record: PoisonRecord;
   beforeEach(() => {
     record = new PoisonRecord();
@@ -24,8 +24,8 @@
   const judge = (now: number, context: Partial<PoisonContext> = {}, request = 'q') =>
     record.judge(request, { ...CONTEXT, ...context, now });
 
-  describe('who is to blame', () => {
-    it('is nobody without an end, a suspect after one, held out after two', () => {
+  describe('the decision on a request', () => {
+    it('is clear without an end, suspect after one, and held out after two', () => {
       expect(judge(0).kind).to.equal('clear');
       record.recordTargetEnd('q', makeEnd(1), 0);
       expect(judge(1).kind).to.equal('suspect');
@@ -33,13 +33,13 @@
       expect(judge(101).kind).to.equal('held');
       expect(judge(101, {}, 'other').kind).to.equal('clear');
     });
-    it('counts the end of one life once, whoever tells of it', () => {
+    it('counts the end of one incarnation once, whichever daemon reports it', () => {
       record.recordTargetEnd('q', makeEnd(1), 0);
       const poisonCase = { request: 'q', ended: [1], releases: ['v1'], changedAt: 40 };
       expect(record.receive(poisonCase, 50)).to.equal('known');
       expect(judge(60).kind).to.equal('suspect');
     });
-    it('is nobody that a target ran to its end, and words of before say nothing', () => {
+    it('is clear once a target ran the request to its end, and ignores older messages', () => {
       record.recordTargetEnd('q', makeEnd(1), 0);
       expect(record.recordAnswer('q', 200)?.ended).to.deep.equal([]);
       expect(judge(201).kind).to.equal('clear');
@@ -49,14 +49,14 @@
       expect(record.receive({ ...received, changedAt: 350 }, 360)).to.equal('news');
       expect(judge(361).kind).to.equal('held');
     });
-    it('lets a copy wait while one of them runs', () => {
+    it('holds a copy back while another one runs', () => {
       record.recordTargetEnd('q', makeEnd(1), 0);
       record.start('q');
       expect(judge(10)).to.include({ kind: 'held' });
       record.finish('q');
       expect(judge(20).kind).to.equal('suspect');
     });
-    it('takes one end more while targets end by themselves', () => {
+    it('needs one more end while targets also end on their own', () => {
       for (let target = 10; target < 20; target += 1) {
         record.recordTargetEnd(`other-${target}`, makeEnd(target), 0);
       }
@@ -66,7 +66,7 @@
       record.recordTargetEnd('q', makeEnd(3), 500);
       expect(judge(600).kind).to.equal('held');
     });
-    it('does not take the ends that several such requests cause for chance', () => {
+    it('does not count ends that other poison requests explain as chance', () => {
       for (let index = 0; index < 20; index += 1) {
         record.recordTargetEnd(`other-${index}`, makeEnd(10 + 2 * index), 0);
         record.recordTargetEnd(`other-${index}`, makeEnd(11 + 2 * index), 50);
@@ -77,12 +77,15 @@
     });
   });
 
-  describe('who finds out that one is good again', () => {
+  describe('a trial of a request that is held out', () => {
     beforeEach(() => {
       record.recordTargetEnd('q', makeEnd(1), 0);
       record.recordTargetEnd('q', makeEnd(2), 100);
     });
-    /** Asks every second for a day, and ends a target at each trial. */
+    /**
+     * Asks every second for a day, and ends a target at each trial; returns the number of ended
+     * targets.
+     */
     const countEnds = (context: Partial<PoisonContext>) => {
       let ended = 0;
       for (let now = 1000; now < DAY; now += 1000) {
@@ -92,17 +95,17 @@
       }
       return ended;
     };
-    it('is one daemon, at the cost of two targets a day', () => {
+    it('is made by one daemon only, and costs at most two targets a day', () => {
       expect(countEnds({ mayRunTrials: false })).to.equal(0);
       expect(countEnds({})).to.equal(2);
     });
-    it('tries a new release at once, and only that', () => {
+    it('is made at once at a new release, and only there', () => {
       const releases = new Set(['v1', 'v2']);
       expect(judge(500, { releases })).to.deep.equal({ kind: 'suspect', avoidedReleases: ['v1'] });
       record.recordTargetEnd('q', makeEnd(3, 'v2'), 600);
       expect(judge(700, { releases }).kind).to.equal('held');
     });
-    it('tells the others, and who has not heard it when that one tells of it', () => {
+    it('that succeeds clears the request at the other daemons, also at those that still report it', () => {
       const heldOut = record.findCase('q');
       record.recordAnswer('q', 20_000);
       expect(record.receive(heldOut ?? expect.fail('held'), 30_000)).to.equal('outdated');
@@ -115,8 +118,8 @@
     });
   });
 
-  describe('words of other daemons', () => {
-    it('give the same in any order, and more than once', () => {
+  describe('cases of other daemons', () => {
+    it('give the same result in any order, and when received more than once', () => {
       const poisonCase = fc.record({
         ended: fc.array(fc.integer({ min: 1, max: 4 }), { minLength: 1, maxLength: 3 }),
         changedAt: fc.integer({ min: 0, max: 1000 }),
@@ -144,7 +147,7 @@
   });
 
   describe('memory', () => {
-    it('is bounded with a hundred thousand requests cut off once, and who is held out stays', () => {
+    it('is bounded when a hundred thousand requests lose one target each, and keeps held-out requests', () => {
       record.recordTargetEnd('q', makeEnd(1), 0);
       record.recordTargetEnd('q', makeEnd(2), 1);
       for (let index = 0; index < 100_000; index += 1) {
@@ -158,7 +161,7 @@
       expect(record.listHeldOut().map(({ request }) => request)).to.deep.equal(['q']);
       expect(record.mayKnowHead('0'.repeat(16))).to.equal(false);
     });
-    it('lasts a day, and a minute of those that were answered', () => {
+    it('keeps blamed requests for a day and answered ones for a minute', () => {
       record.recordTargetEnd('q', makeEnd(1), 0);
       record.recordTargetEnd('a', makeEnd(1), 0);
       record.recordAnswer('a', 10);
@@ -173,7 +176,7 @@
   });
 });
 
-describe('what makes two tries the same request', () => {
+describe('the identity of a request', () => {
   const traits: RequestTraits = {
     ...{ method: 'POST', host: 'a.example', path: '/p?x=1', caller: '10.0.0.9' },
     ...{ body: Buffer.from('body'), bodyBytes: 4 },
@@ -181,19 +184,19 @@
   const listFingerprints = (changes: Partial<RequestTraits> = {}) =>
     new RequestIdentity({ ...traits, ...changes }).fingerprints;
   const getFingerprint = (changes: Partial<RequestTraits> = {}) => listFingerprints(changes)[0];
-  it('is nothing but method, host, path with its parameters, caller and body', () => {
+  it('consists of method, host, path with parameters, caller and body', () => {
     expect(getFingerprint()).to.equal(getFingerprint({ body: Buffer.from('body') }));
     const others = [
       ...[{ method: 'PUT' }, { host: 'b.example' }, { path: '/p?x=2' }, { caller: '10.0.0.8' }],
       ...[{ body: Buffer.from('bodY') }, { body: undefined, bodyBytes: 0 }],
-      // What ends one part can't begin the next.
+      // The boundaries of the parts are part of the digest.
       { host: 'a.example/p', path: '?x=1' },
     ];
     expect(new Set([getFingerprint(), ...others.map(getFingerprint)]).size).to.equal(
       others.length + 1,
     );
   });
-  it('is the length of a body that is not held', () => {
+  it('uses the length of a body that is not buffered', () => {
     const body = undefined;
     expect(getFingerprint({ body, bodyBytes: 9_000_000 })).to.equal(
       getFingerprint({ body, bodyBytes: 9_000_000 }),
@@ -202,7 +205,7 @@
       getFingerprint({ body, bodyBytes: 9_000_001 }),
     );
   });
-  it('may be less: any parameters, any caller; never another path or body', () => {
+  it('has wider forms for any parameters and any caller, but never for another path or body', () => {
     const [exact, anyParameters, anyCaller] = listFingerprints();
     expect(listFingerprints({ path: '/p?y=2' }).slice(1)).to.deep.equal([anyParameters, anyCaller]);
     expect(listFingerprints({ caller: '10.0.0.8' })[2]).to.equal(anyCaller);
@@ -216,7 +219,7 @@
     expect(others).to.not.include.members([anyParameters]);
     expect(others).to.not.include.members([anyCaller]);
   });
-  it('begins with what is known before the body', () => {
+  it('begins with the digest of the head, which is known before the body', () => {
     const { headDigests, fingerprints } = new RequestIdentity(traits);
     for (const [index, digest] of headDigests.entries())
       expect(fingerprints[index].startsWith(digest)).to.equal(true);
--- a/test/shared-rate.test.ts
+++ b/test/shared-rate.test.ts
@@ -1,6 +1,7 @@
 /**
- * Pattern: the rate that one target takes is below one request a second for each daemon, and daemons disagree on who
- * is a home: homes come and go, the fleet is split, callers pause and come all at once.
+ * Guards the rate limit of a target when the rate is below one request a second per daemon and
+ * daemons disagree on the homes: homes come and go, the fleet is partitioned, callers pause and
+ * return all at once.
  */
 import { expect } from 'chai';
 import { AdvertisedRate, RateLimiter, computeOwnRate } from '../src/balance/index.js';
@@ -10,17 +11,17 @@
 
 const SECOND = 1000;
 
-/** The users' bound. */
+/** The agreed limit: the requests allowed in any span of this length, in milliseconds. */
 const SPAN_MS = 4 * SECOND;
 const computeMaxRequests = (rate: number) => 1.5 * rate * 4 + 5;
 
-/** Time between two steps of a history, in milliseconds. */
+/** Simulation step, in milliseconds. */
 const STEP_MS = 25;
 
-/** Opening a connection takes this long at most, in milliseconds. */
+/** Maximum time to open a connection, in milliseconds. */
 const MAX_CONNECT_MS = 250;
 
-/** A daemon works out what it stands for this often. */
+/** How often a daemon recomputes its part of the fleet, in milliseconds. */
 const SHARE_INTERVAL_MS = 100;
 
 const QUERY_INTERVAL_MS = 250;
@@ -33,8 +34,8 @@
 }
 
 /**
- * A fleet in which everybody asks the homes that it takes for such. What anybody takes for homes follows what is so
- * with a lag; a side that is cut off has homes of its own.
+ * A fleet in which every daemon queries those that it takes for homes. Each daemon's view of the
+ * homes follows the real ones with a delay; each side of a partition has its own homes.
  */
 class Fleet {
   readonly names: readonly string[];
@@ -49,7 +50,7 @@
 
   #homes: readonly string[];
 
-  /** Who is on the lesser side of a cut. */
+  /** Whether a daemon is on the smaller side of a partition. */
   #isOutside: (daemon: number) => boolean = () => false;
 
   #changeAt: number;
@@ -90,7 +91,7 @@
     return { part: Math.min(1, reportingWeight / this.names.length), homes, self };
   }
 
-  /** One home is replaced, or a cut begins or ends. */
+  /** Replaces one home, or begins or ends a partition. */
   #changeFleet(now: number): void {
     const { random, names } = this;
     this.#changeAt = now + (2 + 4 * random.next()) * SECOND;
@@ -136,7 +137,7 @@
   }
 }
 
-/** Counts the most arrivals in any span. */
+/** Returns the maximum number of arrivals in any span. */
 function countMaxArrivals(arrivals: readonly number[]): number {
   const times = [...arrivals].sort((a, b) => a - b);
   let max = 0;
@@ -148,18 +149,18 @@
   return max;
 }
 
-describe('a rate that daemons share', () => {
+describe('a rate that all daemons share', () => {
   const DURATION_MS = 30 * SECOND;
 
   for (const rate of [0.5, 1, 2.9, 4.6, 10]) {
-    it(`of ${rate} a second holds in any four seconds, whoever takes whom for a home`, () => {
+    it(`of ${rate} a second is kept in any four seconds, even if daemons disagree on the homes`, () => {
       for (let history = 0; history < 120; history += 1) {
         const random = createSeededRandom(history);
         const homes = 1 + Math.floor(random.next() * 8);
         const fleet = new Fleet(random, 9 + Math.floor(random.next() * 30), homes);
         const advertised = new AdvertisedRate();
         advertised.observe({ rate, at: 0 }, 0, true);
-        const shared = advertised.read(0) ?? expect.fail('the rate is named');
+        const shared = advertised.read(0) ?? expect.fail('the rate is announced');
         const limiters = fleet.names.map(() => new RateLimiter());
         const arrivals: number[] = [];
         let rates: readonly number[] = [];
@@ -184,18 +185,18 @@
       }
     }).timeout(60_000);
 
-    it(`of ${rate} a second is used while nothing changes`, () => {
+    it(`of ${rate} a second is used up while homes do not change`, () => {
       const advertised = new AdvertisedRate();
       advertised.observe({ rate, at: 0 }, 0, true);
-      const shared = advertised.read(0) ?? expect.fail('the rate is named');
+      const shared = advertised.read(0) ?? expect.fail('the rate is announced');
       for (let homes = 1; homes <= 8; homes += 1) {
-        // Until its first change, which comes after the time looked at.
+        // Simulates only the time before the first change.
         const fleet = new Fleet({ ...createSeededRandom(1), next: () => 1 }, 20, homes);
         const limiters = fleet.names.map(() => new RateLimiter());
         let sent = 0;
         for (let now = 0; now < 40 * SECOND; now += STEP_MS) {
           if (now < 2 * SECOND) fleet.step(now);
-          // Nobody forgets its askers, as all of them ask on.
+          // The queries stay valid, because daemons repeat them.
           const at = Math.min(now, 2 * SECOND);
           for (const [daemon, limiter] of limiters.entries()) {
             if (!limiter.maySend(now, computeOwnRate(shared, fleet.readShare(daemon, at), 7)))
@@ -210,13 +211,13 @@
   }
 });
 
-describe('the word of a target on its rate', () => {
-  it('is the newest by when the target said it, whoever tells of it', () => {
+describe('the rate that a target announces', () => {
+  it('is the one that the target announced last, whichever daemon reports it', () => {
     const advertised = new AdvertisedRate();
     expect(advertised.observe({ rate: 3, at: 1000 }, 1000, true)).to.deep.equal({
       ...{ before: undefined, rate: 3 },
     });
-    // Another daemon's word that is older, and an answer whose call was sent before.
+    // An older announcement from another daemon, and an answer to a call sent before.
     expect(advertised.observe({ rate: 8, at: 900 }, 1100, false)).to.equal(undefined);
     expect(advertised.observe({ rate: undefined, at: 950 }, 1200, true)).to.equal(undefined);
     expect(advertised.read(1200)?.rate).to.equal(3);
@@ -224,7 +225,7 @@
     expect(advertised.read(1400)?.rate).to.equal(5);
   });
 
-  it('that ends lets what it gets rise over two seconds', () => {
+  it('ramps up for two seconds once the target announces none any more', () => {
     const advertised = new AdvertisedRate();
     advertised.observe({ rate: 2, at: 0 }, 0, true);
     advertised.observe({ rate: undefined, at: 900 }, 1000, true);
@@ -234,13 +235,13 @@
     expect(advertised.read(3000)).to.equal(undefined);
   });
 
-  it('of nothing at all leaves one request in four seconds, at one home', () => {
+  it('leaves one request in four seconds, from one home, if it is zero', () => {
     const advertised = new AdvertisedRate();
     advertised.observe({ rate: 0, at: 0 }, 0, true);
     expect(advertised.read(10)).to.deep.equal({ rate: 0.25, maxSenders: 1 });
   });
 
-  it('is told on by whoever heard it from the target, and for a while after its end', () => {
+  it('is passed on only by daemons that got it from the target, and for a while after it ends', () => {
     const advertised = new AdvertisedRate();
     expect(advertised.readAnnouncement(0)).to.equal(undefined);
     advertised.observe({ rate: 3, at: 10 }, 10, false);
@@ -267,7 +268,7 @@
     expect(parseRate('9'.repeat(400))).to.deep.equal({ kind: 'unreadable', text: '9'.repeat(20) });
   });
 
-  it('travels between daemons, beside shares that name none', () => {
+  it('is transferred in load datagrams, beside shares without a rate', () => {
     const loadReport = { target: 1, inFlight: 2, slowdown: 1, age: 3 };
     const loadReports = [
       loadReport,
--- a/test/speed.test.ts
+++ b/test/speed.test.ts
@@ -8,7 +8,10 @@
 } from '../src/balance/index.js';
 import { createSeededRandom } from '../src/kernel/index.js';
 
-/** Draws the speeds of one target: slow for a share of the time, drawn anew every `life` ms. */
+/**
+ * Returns the speed of one target over time: slow for a share of the periods of `life`
+ * milliseconds.
+ */
 function drawSpeeds(life: number, { share = 0.25, slowdown = 5, seed = 1 } = {}) {
   const random = createSeededRandom(seed);
   const drawn = new Map<number, number>();
@@ -19,7 +22,7 @@
   };
 }
 
-describe('how long a slowdown lasts', () => {
+describe('the lifetime of a reported slowdown', () => {
   const learnParameters = (life: number, interval: number) => {
     const model = new SlowdownModel();
     const targets = Array.from({ length: 24 }, (_, index) => ({
@@ -40,14 +43,14 @@
     [500, 360, 670],
     [1500, 900, 2400],
   ] as const) {
-    it(`is read from reports every 100 ms: ${life} ms`, () => {
+    it(`is learned from reports every 100 ms: ${life} ms`, () => {
       const parameters = learnParameters(life, 100);
       expect(parameters.life).to.be.within(min, max);
       expect(parameters.mean).to.be.within(1.3, 2.7);
       expect(parameters.slow).to.be.closeTo(5, 0.01);
     });
   }
-  it('is what is usual until enough has been seen, and where nothing changes', () => {
+  it('is the initial value until there are enough samples, and where slowdowns never change', () => {
     const model = new SlowdownModel();
     expect(model.read(0).life).to.equal(500);
     const history = new SlowdownHistory(model);
@@ -56,33 +59,33 @@
   });
 });
 
-describe('how slow a target was at a moment', () => {
+describe('the estimated slowdown of a target at a given time', () => {
   const parameters = { mean: 2, slow: 5, life: 150 };
   const makeHistory = (...reports: readonly (readonly [number, number])[]) => {
     const history = new SlowdownHistory(new SlowdownModel());
     for (const [at, slowdown] of reports) history.record(slowdown, at);
     return history;
   };
-  it('is told by the report before it, the less the older that is', () => {
+  it('follows the last report, less so the older that is', () => {
     const history = makeHistory([1000, 5]);
     expect(history.estimate(1000, parameters)).to.equal(5);
     expect(history.estimate(1075, parameters)).to.equal(3.5);
     expect(history.estimate(1150, parameters)).to.equal(2);
     expect(history.estimate(900, parameters)).to.equal(5 / 3 + 2 * (2 / 3));
   });
-  it('is told by the reports around it, and not by later ones', () => {
+  it('follows the reports just before and after that time, not later ones', () => {
     const history = makeHistory([1000, 1], [1100, 1], [1200, 1], [1300, 5], [1400, 5]);
     expect(history.estimate(1050, parameters)).to.equal(1);
     expect(history.estimate(1250, parameters)).to.be.closeTo(3, 1e-9);
   });
-  it('is the mean where nobody reported', () => {
+  it('is the mean where there is no report', () => {
     expect(makeHistory().estimate(10, parameters)).to.equal(2);
     expect(makeHistory([1000, 5], [1000, 1]).estimate(1000, parameters)).to.equal(5);
   });
 });
 
-describe('the time of a route', () => {
-  it('covers most calls by its spread, and leaves out calls that met a fault', () => {
+describe('the duration of the calls of a route', () => {
+  it('has a spread that covers most calls and ignores calls that met a fault', () => {
     const time = new RouteTime();
     const random = createSeededRandom(2);
     for (let index = 0; index < 3000; index += 1) {
@@ -94,7 +97,7 @@
     for (let index = 0; index < 300; index += 1) time.recordRatio(20);
     expect(time.readSpread()).to.be.within(1.25, 1.45);
   });
-  it('a call is charged what its crowded target added', () => {
+  it('excludes what a crowded target added to a call', () => {
     const knee = new KneeEstimate();
     for (let index = 0; index < 60; index += 1) {
       knee.observe(1, [0.2, 0.5], index);
@@ -105,7 +108,7 @@
   });
 });
 
-describe('why an answer was late', () => {
+describe('the cause of a late answer', () => {
   const timings = { aimLeft: 500, waited: 0, held: 900, attempts: 1 };
   for (const [changes, cause] of [
     [{ held: 500 }, 'in-time'],
