--- a/test/balance.test.ts
+++ b/test/balance.test.ts
@@ -328,7 +328,7 @@
 });
 
 describe('ShareBudget', () => {
-  it('allows exactly its share over many calls', () => {
+  it('allows its share over many calls, within one percent', () => {
     const budget = new ShareBudget(10);
     let spent = 0;
     for (let turn = 0; turn < 10_000; turn += 1) {
--- a/test/load.test.ts
+++ b/test/load.test.ts
@@ -404,7 +404,7 @@
     expect(chooseHomes([a, b, c], 'd2', random)).to.deep.equal([b, c]);
     expect(chooseHomes([a, b, c], 'd3', random)).to.deep.equal([c, a]);
   });
-  it('are all in the own domain and one in another as a backup', () => {
+  it('include all homes of the own domain, and one of another as a backup', () => {
     expect(chooseHomes([a, b, c, second], 'd1', random)).to.deep.equal([a, second, b]);
     expect(chooseHomes([a, second], 'd1', random)).to.deep.equal([a, second]);
   });
--- a/test/shared-rate.test.ts
+++ b/test/shared-rate.test.ts
@@ -185,7 +185,7 @@
       }
     }).timeout(60_000);
 
-    it(`of ${rate} a second is used up while homes do not change`, () => {
+    it(`of ${rate} a second is used for the most part while homes do not change`, () => {
       const advertised = new AdvertisedRate();
       advertised.observe({ rate, at: 0 }, 0, true);
       const shared = advertised.read(0) ?? expect.fail('the rate is announced');
@@ -268,7 +268,7 @@
     expect(parseRate('9'.repeat(400))).to.deep.equal({ kind: 'unreadable', text: '9'.repeat(20) });
   });
 
-  it('is transferred in load datagrams, beside shares without a rate', () => {
+  it('is transferred in load datagrams, beside load reports without a rate', () => {
     const loadReport = { target: 1, inFlight: 2, slowdown: 1, age: 3 };
     const loadReports = [
       loadReport,
