--- a/src/balance/estimate.ts
+++ b/src/balance/estimate.ts
@@ -1,12 +1,14 @@
-/** Running estimates that cost a few numbers each. */
+/** Running estimates with constant memory. */
 
-/** An exponentially weighted mean whose weight follows the time between samples. */
+/**
+ * An exponentially weighted mean; the weight of a sample depends on the time since the last one.
+ */
 export class DecayingMean {
   #value: number | undefined;
 
-  #at = 0;
+  #updatedAt = 0;
 
-  /** @param halfLife time after which an old sample counts half, in milliseconds */
+  /** @param halfLife age at which a sample has half its weight, in milliseconds */
   constructor(private readonly halfLife: number) {}
 
   /** Adds a sample taken at time `now`. */
@@ -14,10 +16,13 @@
     if (this.#value === undefined) {
       this.#value = sample;
     } else {
-      const keep = Math.max(MIN_STEP, 1 - 0.5 ** ((now - this.#at) / this.halfLife));
-      this.#value += (sample - this.#value) * keep;
+      const weight = Math.max(
+        MIN_SAMPLE_WEIGHT,
+        1 - 0.5 ** ((now - this.#updatedAt) / this.halfLife),
+      );
+      this.#value += (sample - this.#value) * weight;
     }
-    this.#at = now;
+    this.#updatedAt = now;
   }
 
   /** Returns the mean, or `fallback` before the first sample. */
@@ -26,13 +31,13 @@
   }
 }
 
-const MIN_STEP = 0.05;
+const MIN_SAMPLE_WEIGHT = 0.05;
 
-/** Follows one quantile of a stream by small steps up and down, with constant memory. */
+/** Estimates one quantile of a stream by small steps up and down. */
 export class QuantileEstimate {
   #value: number | undefined;
 
-  /** @param quantile the quantile to follow, between 0 and 1 */
+  /** @param quantile the quantile to estimate, between 0 and 1 */
   constructor(private readonly quantile: number) {}
 
   /** Adds a sample. */
@@ -41,7 +46,7 @@
       this.#value = sample;
       return;
     }
-    const step = Math.max(this.#value, 1) * STEP;
+    const step = Math.max(this.#value, 1) * RELATIVE_STEP;
     if (sample > this.#value) this.#value += step * this.quantile;
     else this.#value = Math.max(0, this.#value - step * (1 - this.quantile));
   }
@@ -52,39 +57,39 @@
   }
 }
 
-const STEP = 0.05;
+const RELATIVE_STEP = 0.05;
 
-/** Counts events and gives their rate over the recent past. */
+/** Counts events and computes their rate over the last full window. */
 export class RateMeter {
   #count = 0;
 
   #rate = 0;
 
-  #since: number;
+  #windowStart: number;
 
   constructor(now: number) {
-    this.#since = now;
+    this.#windowStart = now;
   }
 
   /** Adds `amount` events at time `now`. */
   add(now: number, amount = 1): void {
-    this.#roll(now);
+    this.#rollWindow(now);
     this.#count += amount;
   }
 
-  /** Returns events a second. */
+  /** Returns the events per second. */
   read(now: number): number {
-    this.#roll(now);
+    this.#rollWindow(now);
     return this.#rate;
   }
 
-  #roll(now: number): void {
-    const span = now - this.#since;
-    if (span < RATE_WINDOW) return;
+  #rollWindow(now: number): void {
+    const span = now - this.#windowStart;
+    if (span < RATE_WINDOW_MS) return;
     this.#rate = (this.#count * 1000) / span;
     this.#count = 0;
-    this.#since = now;
+    this.#windowStart = now;
   }
 }
 
-const RATE_WINDOW = 1000;
+const RATE_WINDOW_MS = 1000;
--- a/src/balance/queue.ts
+++ b/src/balance/queue.ts
@@ -1,14 +1,15 @@
 /**
  * The calls that wait in an entry for a slot.
  *
- * Calls wait in lanes, one for each class of work and each policy that holds calls back. Lanes share
- * the slots by weight; inside a lane callers take turns. A lane whose hold is exhausted is passed over.
+ * Calls wait in lanes: one per class of work and policy that holds calls back. Lanes share the
+ * slots by weight, and the callers within a lane take turns. A lane whose hold is used up is
+ * skipped.
  */
 import type { ClassConfig } from '../config/index.js';
 import type { Hold } from '../policy/index.js';
 
-/** What the queue needs to know of a waiting call. */
-export interface Waiting {
+/** A waiting call, as far as the queue depends on it. */
+export interface WaitingCall {
   readonly class: ClassConfig;
   readonly caller: string;
   readonly hold: Hold | undefined;
@@ -18,18 +19,18 @@
   readonly name: string;
   readonly weight: number;
   readonly hold: Hold | undefined;
-  /** Waiting calls by caller; the order of the map is the order of their turns. */
+  /** Waiting calls by caller; the order of the map is the order of the callers' turns. */
   readonly callers: Map<string, T[]>;
-  /** Service received so far, divided by the weight. */
-  served: number;
+  /** Calls taken from the lane so far, divided by its weight. */
+  virtualTime: number;
   size: number;
 }
 
-/** A queue with weighted lanes and turns between callers. */
-export class CallQueue<T extends Waiting> {
+/** A weighted fair queue, with turns between the callers of a lane. */
+export class CallQueue<T extends WaitingCall> {
   readonly #lanes = new Map<string, Lane<T>>();
 
-  #served = 0;
+  #virtualTime = 0;
 
   #size = 0;
 
@@ -38,7 +39,7 @@
     return this.#size;
   }
 
-  /** The number of waiting calls of a class, in all its lanes. */
+  /** Returns the number of waiting calls of a class, in all its lanes. */
   countClass(name: string): number {
     let count = 0;
     for (const lane of this.#lanes.values()) {
@@ -47,10 +48,10 @@
     return count;
   }
 
-  /** Adds a call at the end of its caller's turns. */
+  /** Adds a call behind those of its caller. */
   add(item: T): void {
     const lane = this.#findLane(item);
-    if (lane.size === 0) lane.served = Math.max(lane.served, this.#served);
+    if (lane.size === 0) lane.virtualTime = Math.max(lane.virtualTime, this.#virtualTime);
     const calls = lane.callers.get(item.caller);
     if (calls === undefined) lane.callers.set(item.caller, [item]);
     else calls.push(item);
@@ -58,7 +59,7 @@
     this.#size += 1;
   }
 
-  /** Removes a call wherever it waits; false when it does not wait. */
+  /** Removes a call wherever it waits; false if it does not wait. */
   remove(item: T): boolean {
     const lane = this.#findLane(item);
     const calls = lane.callers.get(item.caller);
@@ -66,35 +67,35 @@
     if (calls === undefined || index < 0) return false;
     calls.splice(index, 1);
     if (calls.length === 0) lane.callers.delete(item.caller);
-    this.#shrink(lane);
+    this.#decrementSize(lane);
     return true;
   }
 
-  /** Takes the call whose turn it is among the lanes that `allows` lets through. */
+  /** Takes the next call from the lanes whose hold `allows` accepts; undefined if there is none. */
   take(allows: (hold: Hold | undefined) => boolean): T | undefined {
     let best: Lane<T> | undefined;
     for (const lane of this.#lanes.values()) {
       if (lane.size === 0 || !allows(lane.hold)) continue;
-      if (best === undefined || lane.served < best.served) best = lane;
+      if (best === undefined || lane.virtualTime < best.virtualTime) best = lane;
     }
     if (best === undefined) return undefined;
-    this.#served = best.served;
-    best.served += 1 / best.weight;
-    return this.#takeTurn(best);
+    this.#virtualTime = best.virtualTime;
+    best.virtualTime += 1 / best.weight;
+    return this.#takeFromLane(best);
   }
 
-  #takeTurn(lane: Lane<T>): T | undefined {
+  #takeFromLane(lane: Lane<T>): T | undefined {
     const [first] = lane.callers;
     if (first === undefined) return undefined;
     const [caller, calls] = first;
     const item = calls.shift();
     lane.callers.delete(caller);
     if (calls.length > 0) lane.callers.set(caller, calls);
-    this.#shrink(lane);
+    this.#decrementSize(lane);
     return item;
   }
 
-  #shrink(lane: Lane<T>): void {
+  #decrementSize(lane: Lane<T>): void {
     lane.size -= 1;
     this.#size -= 1;
   }
@@ -106,7 +107,7 @@
     const lane: Lane<T> = {
       ...{ name: item.class.name, weight: item.class.weight, hold: item.hold },
       ...{ callers: known?.callers ?? new Map<string, T[]>() },
-      ...{ served: known?.served ?? this.#served, size: known?.size ?? 0 },
+      ...{ virtualTime: known?.virtualTime ?? this.#virtualTime, size: known?.size ?? 0 },
     };
     this.#lanes.set(key, lane);
     return lane;
--- a/src/balance/strategy.ts
+++ b/src/balance/strategy.ts
@@ -1,8 +1,8 @@
-/** How a target is chosen among those that may be given one more call. */
+/** Strategies for choosing one of the targets that may take one more call. */
 import type { Random } from '../kernel/index.js';
 import type { Target } from './target.js';
 
-/** The strategies. All but `fresh` are baselines that the experiment tool measures against. */
+/** Names of the strategies. All but `fresh` are baselines for the experiment tool. */
 export const STRATEGIES = [
   ...(['fresh', 'random', 'round-robin', 'least-in-flight'] as const),
   ...(['two-choices', 'lowest-latency'] as const),
@@ -11,10 +11,10 @@
 /** One of {@link STRATEGIES}. */
 export type Strategy = (typeof STRATEGIES)[number];
 
-/** Chooses one of the candidates, which are never empty. */
+/** Chooses one of the candidates, of which there is at least one. */
 export type Chooser = (candidates: readonly Target[], now: number) => Target;
 
-/** Returns the item of the lowest cost; ties go to the first one met from a random start. */
+/** Returns the item with the lowest cost; ties go to the first one from a random position. */
 export function findCheapest<T>(
   items: readonly T[],
   measure: (item: T) => number,
@@ -35,31 +35,35 @@
 }
 
 const STALL_FACTOR = 3;
-const STALL_FLOOR = 5;
+const STALL_FLOOR_MS = 5;
 const STALL_COST = 4;
 const LATENCY_WEIGHT = 0.25;
-/** Latencies this close are noise; without it one target would get every call at light load. */
-const TOLERANCE = 1.25;
-const UNKNOWN_LATENCY = 10;
+/**
+ * Latencies within this factor are noise; without it one target would get every call at light load.
+ */
+const LATENCY_TOLERANCE = 1.25;
+const UNKNOWN_LATENCY_MS = 10;
 
 /**
- * The cost of giving a target one more call, from what this entry itself has seen.
+ * Computes the cost of giving a target one more call, from what this entry has observed itself.
  *
- * The share of its slots in use is exact where the entry is the target's only home. A target that
- * holds calls without ending any for much longer than its usual time is taken to have slowed down,
- * which shows within a few service times, long before its mean latency does.
+ * The share of busy slots is exact if the entry is the target's only home. A target that holds
+ * calls for much longer than usual without completing any is taken to have slowed down; that shows
+ * within a few service times, long before the mean latency rises.
  */
-function measureFreshCost(target: Target, now: number, usual: number): number {
+function computeFreshCost(target: Target, now: number, usualLatency: number): number {
   const limit = Math.max(1, target.limit);
   const busy = (target.inFlight + target.otherInFlight) / limit;
-  const slower = (target.readLatency(usual) / usual - TOLERANCE) * LATENCY_WEIGHT;
-  const stalled = target.readStall(now) > STALL_FACTOR * usual + STALL_FLOOR ? STALL_COST : 0;
-  return busy + Math.min(1, Math.max(0, slower)) + stalled;
+  const latencyCost =
+    (target.readLatency(usualLatency) / usualLatency - LATENCY_TOLERANCE) * LATENCY_WEIGHT;
+  const stallCost =
+    target.readStall(now) > STALL_FACTOR * usualLatency + STALL_FLOOR_MS ? STALL_COST : 0;
+  return busy + Math.min(1, Math.max(0, latencyCost)) + stallCost;
 }
 
-function measureUsual(candidates: readonly Target[]): number {
+function computeMeanLatency(candidates: readonly Target[]): number {
   let sum = 0;
-  for (const target of candidates) sum += target.readLatency(UNKNOWN_LATENCY);
+  for (const target of candidates) sum += target.readLatency(UNKNOWN_LATENCY_MS);
   return Math.max(1, sum / candidates.length);
 }
 
@@ -88,13 +92,17 @@
       return (candidates) => {
         const [a, b] = [pickAny(candidates), pickAny(candidates)];
         const measure = (target: Target) =>
-          target.readLatency(UNKNOWN_LATENCY) * (target.inFlight + 1);
+          target.readLatency(UNKNOWN_LATENCY_MS) * (target.inFlight + 1);
         return measure(a) <= measure(b) ? a : b;
       };
     case 'fresh':
       return (candidates, now) => {
-        const usual = measureUsual(candidates);
-        return findCheapest(candidates, (target) => measureFreshCost(target, now, usual), random);
+        const usualLatency = computeMeanLatency(candidates);
+        return findCheapest(
+          candidates,
+          (target) => computeFreshCost(target, now, usualLatency),
+          random,
+        );
       };
     default:
       return strategy satisfies never;
--- a/src/balance/wait-queue.ts
+++ b/src/balance/wait-queue.ts
@@ -1,9 +1,10 @@
 /**
- * A line of calls that wait for one thing: a free slot at the targets, or this daemon's own processor.
+ * A queue of calls that wait for one resource: a free slot at the targets, or this daemon's own
+ * processor.
  *
- * Those that were let in to be in time go first, the more urgent before the others and then the one whose
- * time runs out first; those that may be late, and then those that are, take what is left over. Whether a
- * call waits at all is judged when it arrives and again as the outlook changes.
+ * Calls admitted as in time go first, by priority and then by the time at which they become late.
+ * Calls that may be late, and then those that are late, get the capacity left over. Whether a call
+ * waits at all is decided when it arrives, and again when the outlook changes.
  */
 import type { Clock, Random } from '../kernel/index.js';
 import {
@@ -15,63 +16,72 @@
   judgeLate,
 } from './admission.js';
 
-/** A call that may wait in a line. Times are in milliseconds. */
+/** A call that may wait in the queue. Times are in milliseconds. */
 export interface QueuedCall {
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** How long the call takes at a usual, idle target. */
+  /** Expected duration at an idle target of usual speed. */
   readonly work: number;
-  /** Whether calls of its route have taught that; nothing is sent back for a guess. */
+  /**
+   * Whether `work` was learned from calls of the route; no call is refused because of an assumed
+   * duration.
+   */
   readonly isWorkKnown: boolean;
-  /** When an answer stops to be fully useful. */
+  /** Time after which an answer is late: still wanted, but no longer fully useful. */
   readonly aimAt: number;
-  /** When the call is given up. */
+  /** Time at which the call is abandoned. */
   readonly deadline: number;
-  /** Most calls of its route run no longer than this many times the expected time. */
+  /** Factor by which most calls of the route stay within the expected time. */
   readonly spread: number;
-  /** Whether it may be sent back to its caller, because no target has had it. */
+  /** Whether it may be refused to its caller, because it was not sent to any target. */
   readonly mayBeRefused: boolean;
 }
 
 /** Calls of a lower rank go first. */
 const RANKS = {
   inTime: 0,
-  /** It would be in time if its turn came now; nothing is kept free for it. */
-  unsure: 1,
+  /** It would be in time if it started now, but no capacity is reserved for it. */
+  uncertain: 1,
   late: 2,
 } as const;
 
 type Rank = (typeof RANKS)[keyof typeof RANKS];
 
-interface Place<C> {
+interface QueueEntry<C> {
   readonly call: C;
-  /** Whether it was let in among those that can be in time. */
-  readonly isSure: boolean;
+  /** Whether it was admitted as in time. */
+  readonly isAdmittedInTime: boolean;
 }
 
-/** Calls that go before another one. */
-interface Ahead {
+/** Numbers of calls that go before another one. */
+interface AheadCounts {
   readonly inTime: number;
   readonly late: number;
 }
 
-/** A caller that is sent back may return after this long at the earliest, in milliseconds. */
-const LEAST_RETURN = 100;
+/** Minimum time after which a refused caller may retry. */
+const MIN_RETRY_DELAY_MS = 100;
 
-/** Callers return spread over this part of the wait, so that they don't meet again. */
-const RETURN_SPREAD = 0.5;
+/**
+ * Retry times are spread over this share of the wait, so that refused callers don't return
+ * together.
+ */
+const RETRY_JITTER = 0.5;
 
-/** Overload begins when calls that can be in time fill this part of the starts, and ends below it. */
-const OVERLOAD = 0.95;
+/**
+ * Demand at which overload begins: calls that can be in time use this share of the possible starts.
+ * It ends below that.
+ */
+const OVERLOAD_DEMAND = 0.95;
 
-/** One line. */
+/** A queue of waiting calls. */
 export class WaitQueue<C extends QueuedCall> {
-  readonly #places = new Map<C, Place<C>>();
+  readonly #entries = new Map<C, QueueEntry<C>>();
 
   /** Arrivals of calls that can be in time. */
   readonly #arrivals = new ArrivalRate();
 
-  #overloadedSince: number | undefined;
+  #overloadStart: number | undefined;
 
   #pace = 0;
 
@@ -84,19 +94,21 @@
     private readonly random: Random,
   ) {}
 
-  /** Calls that wait. */
+  /** The number of waiting calls. */
   get size(): number {
-    return this.#places.size;
+    return this.#entries.size;
   }
 
-  /** Notes that a call arrives, whether or not it will wait. */
+  /** Records the arrival of a call, whether or not it will wait. */
   recordArrival(call: C): void {
-    if (!this.#isLate(call)) this.#arrivals.note(this.clock.now());
+    if (!this.#isLate(call)) this.#arrivals.record(this.clock.now());
   }
 
   /**
-   * Takes the time between two starts while all is busy, and how many times longer calls take then.
+   * Updates the outlook.
    *
+   * @param pace time between two starts while the resource is fully used, in milliseconds
+   * @param slowdown how many times longer than usual calls take then
    * @param opensIn time until the first start, in milliseconds
    */
   updatePace(pace: number, slowdown: number, opensIn = 0): void {
@@ -104,74 +116,75 @@
     this.#slowdown = slowdown;
     const now = this.clock.now();
     this.#opensAt = now + opensIn;
-    if (this.#arrivals.read(now) * this.#pace < OVERLOAD) this.#overloadedSince = undefined;
-    else this.#overloadedSince ??= now;
+    if (this.#arrivals.read(now) * this.#pace < OVERLOAD_DEMAND) this.#overloadStart = undefined;
+    else this.#overloadStart ??= now;
   }
 
-  /** Counts those that go before a call if it is let in to be in time. */
+  /** Returns the number of calls that go before a call that is admitted as in time. */
   countAhead(call: C): number {
     const { inTime, late } = this.#countAhead(call);
     return inTime + late;
   }
 
-  /** Judges a call that has just come and would have to wait. */
+  /** Decides on a call that has just arrived and would have to wait. */
   judge(call: C): Admission {
     const outlook = this.#describeOutlook(this.#countAhead(call));
     const terms = this.#describeTerms(call);
     return this.#isLate(call) ? judgeLate(terms, outlook) : judgeArrival(terms, outlook);
   }
 
-  /** Lets a call in. @param isSure whether among those that can be in time */
-  add(call: C, isSure: boolean): void {
-    this.#places.set(call, { call, isSure });
+  /** Adds a call. @param isAdmittedInTime whether it goes with the calls in time */
+  add(call: C, isAdmittedInTime: boolean): void {
+    this.#entries.set(call, { call, isAdmittedInTime });
   }
 
-  /** Takes a call out: its turn has come, its caller has left, or its time is over. */
+  /** Removes a call: it starts, its caller has left, or it is abandoned. */
   remove(call: C): void {
-    this.#places.delete(call);
+    this.#entries.delete(call);
   }
 
-  /** The calls in the order of their turns. */
+  /** Lists the calls in the order of their turns. */
   list(): readonly C[] {
-    return this.#order().map(({ call }) => call);
+    return this.#sortEntries().map(({ call }) => call);
   }
 
   /**
-   * Takes out the calls that wait in vain, as the outlook is now, with the wait that each would have.
+   * Removes the calls whose turn is not expected before their deadline; returns them with their
+   * expected wait.
    *
-   * @param withRepeats whether also those that a target has had before
+   * @param includeRepeats whether to remove also those that were sent to a target before
    */
-  removeHopeless(withRepeats = false): readonly { readonly call: C; readonly wait: number }[] {
+  removeHopeless(includeRepeats = false): readonly { readonly call: C; readonly wait: number }[] {
     const ahead = { inTime: 0, late: 0 };
-    const vain: { readonly call: C; readonly wait: number }[] = [];
-    for (const place of this.#order()) {
-      const { call } = place;
-      if (this.#rank(place) === RANKS.inTime) {
+    const removed: { readonly call: C; readonly wait: number }[] = [];
+    for (const entry of this.#sortEntries()) {
+      const { call } = entry;
+      if (this.#getRank(entry) === RANKS.inTime) {
         ahead.inTime += 1;
         continue;
       }
       const admission = judgeLate(this.#describeTerms(call), this.#describeOutlook(ahead));
-      const mayBeRefused = withRepeats || call.mayBeRefused;
+      const mayBeRefused = includeRepeats || call.mayBeRefused;
       if (admission.kind === 'refuse' && mayBeRefused && call.isWorkKnown) {
-        vain.push({ call, wait: admission.wait });
+        removed.push({ call, wait: admission.wait });
         this.remove(call);
       } else ahead.late += 1;
     }
-    return vain;
+    return removed;
   }
 
-  /** Chooses when a caller may return: after the wait, and not together with others. */
+  /** Chooses the time after which a refused caller may retry: the wait plus a random part. */
   chooseRetryDelay(wait: number): number {
-    return Math.max(LEAST_RETURN, wait * (1 + RETURN_SPREAD * this.random.next()));
+    return Math.max(MIN_RETRY_DELAY_MS, wait * (1 + RETRY_JITTER * this.random.next()));
   }
 
-  #describeOutlook({ inTime, late }: Ahead): QueueOutlook {
+  #describeOutlook({ inTime, late }: AheadCounts): QueueOutlook {
     const now = this.clock.now();
     return {
       opensIn: Math.max(0, this.#opensAt - now),
-      ...{ pace: this.#pace, ahead: inTime, lateAhead: late },
+      ...{ pace: this.#pace, inTimeAhead: inTime, lateAhead: late },
       demand: this.#arrivals.read(now) * this.#pace,
-      overloadAge: now - (this.#overloadedSince ?? now),
+      overloadDuration: now - (this.#overloadStart ?? now),
     };
   }
 
@@ -184,28 +197,28 @@
     return this.clock.now() + work * this.#slowdown > aimAt;
   }
 
-  #order(): readonly Place<C>[] {
-    const places = [...this.#places.values()];
-    return places.length < 2 ? places : places.sort((a, b) => this.#compare(a, b));
+  #sortEntries(): readonly QueueEntry<C>[] {
+    const entries = [...this.#entries.values()];
+    return entries.length < 2 ? entries : entries.sort((a, b) => this.#compareEntries(a, b));
   }
 
-  #rank({ call, isSure }: Place<C>): Rank {
+  #getRank({ call, isAdmittedInTime }: QueueEntry<C>): Rank {
     if (this.#isLate(call)) return RANKS.late;
-    return isSure ? RANKS.inTime : RANKS.unsure;
+    return isAdmittedInTime ? RANKS.inTime : RANKS.uncertain;
   }
 
-  #compare(a: Place<C>, b: Place<C>): number {
-    const rank = this.#rank(a);
-    const urgency = rank - this.#rank(b) || a.call.priority - b.call.priority;
+  #compareEntries(a: QueueEntry<C>, b: QueueEntry<C>): number {
+    const rank = this.#getRank(a);
+    const urgency = rank - this.#getRank(b) || a.call.priority - b.call.priority;
     if (urgency !== 0) return urgency;
     return rank === RANKS.late ? a.call.deadline - b.call.deadline : a.call.aimAt - b.call.aimAt;
   }
 
-  #countAhead(call: C): Ahead {
+  #countAhead(call: C): AheadCounts {
     const ahead = { inTime: 0, late: 0 };
-    for (const place of this.#places.values()) {
-      if (this.#compare(place, { call, isSure: true }) > 0) continue;
-      if (this.#rank(place) === RANKS.inTime) ahead.inTime += 1;
+    for (const entry of this.#entries.values()) {
+      if (this.#compareEntries(entry, { call, isAdmittedInTime: true }) > 0) continue;
+      if (this.#getRank(entry) === RANKS.inTime) ahead.inTime += 1;
       else ahead.late += 1;
     }
     return ahead;
