--- a/src/gateway/directory.ts
+++ b/src/gateway/directory.ts
@@ -11,11 +11,11 @@
 /** Starts a listener whose every answer is made at once from the path and query. */
 function serveAnswers(
   address: Address,
-  answer: (url: URL) => { readonly status: number; readonly body: string },
+  createAnswer: (url: URL) => { readonly status: number; readonly body: string },
 ): Promise<http.Server> {
   const server = http.createServer({ keepAliveTimeout: 30_000 }, (request, response) => {
     const url = parseRequestUrl(request.url);
-    const { status, body } = url === undefined ? BAD_REQUEST : answer(url);
+    const { status, body } = url === undefined ? BAD_REQUEST : createAnswer(url);
     response.writeHead(status, {
       'Content-Type': 'application/json',
       'Content-Length': Buffer.byteLength(body),
@@ -37,7 +37,7 @@
 /** Answers callers that ask which addresses to use, and for how many milliseconds. */
 export function serveDirectory(
   address: Address,
-  listAddresses: (question: ResolveQuery) => readonly string[],
+  listAddresses: (query: ResolveQuery) => readonly string[],
   readTtl: () => number,
 ): Promise<http.Server> {
   return serveAnswers(address, (url) => {
--- a/src/gateway/event-loop-monitor.ts
+++ b/src/gateway/event-loop-monitor.ts
@@ -14,23 +14,23 @@
 import type { Clock, Log, TextMetrics } from '../kernel/index.js';
 
 /** Time between two looks: short against what a caller notices, and cheap. */
-const PACE = 100;
+const MEASURE_INTERVAL_MS = 100;
 
 /** A turn this late is worth a line, in milliseconds; callers of the shortest aims notice half of it. */
-const LONG_LAG = 50;
+const LOGGED_LAG_MS = 50;
 
 /** Turns that each accepted a connection for this long are worth a line, in milliseconds. */
-const LONG_RUN = 50;
+const LOGGED_RUN_MS = 50;
 
 /** Less waiting than this between two turns is within the error of the loop's own account, in milliseconds. */
-const LEAST_IDLE = 0.05;
+const MIN_IDLE_MS = 0.05;
 
 /**
  * When more connections come than may wait, the kernel puts off the others' handshakes while their callers
  * take them for open, and completes them when it tries again: after one, three and seven seconds, by when
  * most callers have given up.
  */
-const PUT_OFF_TIME = 7500;
+const HANDSHAKE_DELAY_MS = 7500;
 
 /** The event loop as the watch sees it. */
 export interface EventLoopSource {
@@ -68,18 +68,18 @@
 
 /** The watch of one daemon. */
 export class EventLoopMonitor {
-  #isInTurn = false;
+  #isInIteration = false;
 
-  #earliest: number;
+  #earliestArrival: number;
 
   /** When this turn looked for what has come, at the earliest. */
-  #lookedAt: number;
+  #polledAt: number;
 
-  #endedAt: number;
+  #iterationEndedAt: number;
 
-  #idleAtEnd: number;
+  #idleMsAtEnd: number;
 
-  #isAccepting = false;
+  #hasAccepted = false;
 
   /** When the last connections were accepted, as many as may wait behind one another; oldest at the next place. */
   readonly #acceptedAt: Float64Array;
@@ -88,31 +88,31 @@
   accepted = 0;
 
   /** Since when connections may have waited; undefined while the last turn accepted none. */
-  #runSince: number | undefined;
+  #acceptRunSince: number | undefined;
 
   /** Connections that had been accepted when that began. */
-  #acceptedBefore = 0;
+  #acceptedBeforeRun = 0;
 
   /** When as many connections as may wait had been accepted without a pause. */
-  #fullAt = -Infinity;
+  #queueFullAt = -Infinity;
 
   constructor(private readonly options: EventLoopMonitorOptions) {
     const now = options.clock.now();
     this.#acceptedAt = new Float64Array(options.listenQueue).fill(-Infinity);
-    this.#earliest = now;
-    this.#lookedAt = now;
-    this.#endedAt = now;
-    this.#idleAtEnd = options.source.readIdleMs();
+    this.#earliestArrival = now;
+    this.#polledAt = now;
+    this.#iterationEndedAt = now;
+    this.#idleMsAtEnd = options.source.readIdleMs();
   }
 
   /** Whether the last turn accepted a connection, so that others may wait. */
   get mayHavePendingConnections(): boolean {
-    return this.#runSince !== undefined;
+    return this.#acceptRunSince !== undefined;
   }
 
   /** Whether requests may come now whose callers have waited for a time that nothing here tells. */
   get hasRecentListenOverflow(): boolean {
-    return this.options.clock.now() - this.#fullAt < PUT_OFF_TIME;
+    return this.options.clock.now() - this.#queueFullAt < HANDSHAKE_DELAY_MS;
   }
 
   /** Calls `action` at the end of this turn, after all that it has read. */
@@ -122,17 +122,17 @@
 
   /** Notes that a connection is accepted now. */
   recordAccept(): AcceptMark {
-    this.#enter();
-    this.#isAccepting = true;
-    if (this.#runSince === undefined) this.#beginRun(this.#earliest);
-    const place = this.accepted % this.#acceptedAt.length;
-    const oldest = this.#acceptedAt[place] ?? -Infinity;
-    this.#acceptedAt[place] = this.options.clock.now();
+    this.#beginIteration();
+    this.#hasAccepted = true;
+    if (this.#acceptRunSince === undefined) this.#beginAcceptRun(this.#earliestArrival);
+    const index = this.accepted % this.#acceptedAt.length;
+    const oldest = this.#acceptedAt[index] ?? -Infinity;
+    this.#acceptedAt[index] = this.options.clock.now();
     this.accepted += 1;
-    if (this.accepted - this.#acceptedBefore >= this.#acceptedAt.length) {
-      this.#fullAt = this.options.clock.now();
+    if (this.accepted - this.#acceptedBeforeRun >= this.#acceptedAt.length) {
+      this.#queueFullAt = this.options.clock.now();
     }
-    const earliest = Math.max(this.#runSince ?? this.#earliest, oldest);
+    const earliest = Math.max(this.#acceptRunSince ?? this.#earliestArrival, oldest);
     return { earliest, idleMs: this.options.source.readIdleMs() };
   }
 
@@ -144,10 +144,10 @@
    */
   estimateArrival(accepted?: AcceptMark): number {
     const now = this.options.clock.now();
-    this.#enter();
-    const wasLookedAt =
-      accepted === undefined || this.options.source.readIdleMs() - accepted.idleMs > LEAST_IDLE;
-    const earliest = wasLookedAt ? this.#earliest : accepted.earliest;
+    this.#beginIteration();
+    const wasPolled =
+      accepted === undefined || this.options.source.readIdleMs() - accepted.idleMs > MIN_IDLE_MS;
+    const earliest = wasPolled ? this.#earliestArrival : accepted.earliest;
     return (Math.min(earliest, now) + now) / 2;
   }
 
@@ -155,46 +155,46 @@
   async run(signal: AbortSignal): Promise<void> {
     const { clock, log, metrics } = this.options;
     while (!signal.aborted) {
-      const dueAt = clock.now() + PACE;
-      await clock.sleep(PACE, signal);
+      const dueAt = clock.now() + MEASURE_INTERVAL_MS;
+      await clock.sleep(MEASURE_INTERVAL_MS, signal);
       if (signal.aborted) return;
-      this.#enter();
+      this.#beginIteration();
       const lag = Math.max(0, clock.now() - dueAt);
       metrics.observe('event_loop_lag_ms', {}, lag);
-      if (lag >= LONG_LAG) log.warn('loop.late', { lag: Math.round(lag) });
-      const acceptRun = this.#runSince === undefined ? 0 : clock.now() - this.#runSince;
+      if (lag >= LOGGED_LAG_MS) log.warn('loop.late', { lag: Math.round(lag) });
+      const acceptRun = this.#acceptRunSince === undefined ? 0 : clock.now() - this.#acceptRunSince;
       metrics.observe('accept_run_ms', {}, acceptRun);
-      if (acceptRun >= LONG_RUN) log.warn('accept.late', { run: Math.round(acceptRun) });
+      if (acceptRun >= LOGGED_RUN_MS) log.warn('accept.late', { run: Math.round(acceptRun) });
     }
   }
 
-  #beginRun(since: number): void {
+  #beginAcceptRun(since: number): void {
     const { source } = this.options;
-    this.#runSince = since;
-    this.#acceptedBefore = this.accepted;
-    const follow = () => {
-      if (this.#isAccepting) {
-        this.#isAccepting = false;
-        source.scheduleAfterIteration(follow);
+    this.#acceptRunSince = since;
+    this.#acceptedBeforeRun = this.accepted;
+    const checkAccepts = () => {
+      if (this.#hasAccepted) {
+        this.#hasAccepted = false;
+        source.scheduleAfterIteration(checkAccepts);
         return;
       }
-      this.#runSince = undefined;
+      this.#acceptRunSince = undefined;
     };
-    source.scheduleAfterIteration(follow);
+    source.scheduleAfterIteration(checkAccepts);
   }
 
-  #enter(): void {
-    if (this.#isInTurn) return;
-    this.#isInTurn = true;
+  #beginIteration(): void {
+    if (this.#isInIteration) return;
+    this.#isInIteration = true;
     const { clock, source } = this.options;
-    const idle = source.readIdleMs() - this.#idleAtEnd;
-    const lookedAt = this.#endedAt + Math.max(0, idle);
-    this.#earliest = idle > LEAST_IDLE ? lookedAt : this.#lookedAt;
-    this.#lookedAt = lookedAt;
+    const idleMs = source.readIdleMs() - this.#idleMsAtEnd;
+    const polledAt = this.#iterationEndedAt + Math.max(0, idleMs);
+    this.#earliestArrival = idleMs > MIN_IDLE_MS ? polledAt : this.#polledAt;
+    this.#polledAt = polledAt;
     source.scheduleAfterIteration(() => {
-      this.#isInTurn = false;
-      this.#endedAt = clock.now();
-      this.#idleAtEnd = source.readIdleMs();
+      this.#isInIteration = false;
+      this.#iterationEndedAt = clock.now();
+      this.#idleMsAtEnd = source.readIdleMs();
     });
   }
 }
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -43,65 +43,65 @@
 import { EventLoopMonitor, createEventLoopSource } from './event-loop-monitor.js';
 
 /** A view that was the newest this shortly ago is proven. */
-const PROVEN_FOR = 1500;
+const MAX_PROOF_AGE_MS = 1500;
 
 /** A daemon that starts waits this long for a proof before it serves what it knows unproven. */
-const START_WAIT = 2500;
+const MAX_START_WAIT_MS = 2500;
 
-const START_PACE = 25;
-const TRIM_PACE = 500;
+const START_CHECK_INTERVAL_MS = 25;
+const TRIM_INTERVAL_MS = 500;
 
 /**
  * A daemon that starts waits this long for others to tell it what they know before it reads the store:
  * some ways there and back. When the whole system starts nobody calls yet, and one reading serves all.
  */
-const PATIENCE = 60;
-const FIRST_PATIENCE = 3000;
+const STATE_WAIT_MS = 60;
+const FIRST_START_WAIT_MS = 3000;
 
 /** A daemon that has run this long is no newcomer; callers hold an answer a quarter of this at most. */
-const SENIORITY = 60_000;
+const SENIOR_AGE_MS = 60_000;
 
 function isFirstStart({ first_start: first }: GatewaySettings['gateway']): boolean {
   return first === 'true';
 }
 
-function findPatience(gateway: GatewaySettings['gateway']): number {
-  if (!isFirstStart(gateway)) return PATIENCE;
+function findStateWait(gateway: GatewaySettings['gateway']): number {
+  if (!isFirstStart(gateway)) return STATE_WAIT_MS;
   const { seeds, ip } = gateway;
   // Somebody has to read for the others; they ask seeds every second.
-  return seeds[0]?.host === ip ? 0 : FIRST_PATIENCE;
+  return seeds[0]?.host === ip ? 0 : FIRST_START_WAIT_MS;
 }
 
 /** How long callers are told to keep an answer, in milliseconds; some keep it three times as long. */
-const ANSWER_TTL = 5000;
+const MAX_ANSWER_TTL_MS = 5000;
 
 /**
  * What a daemon tells callers while it does not know the others yet, in milliseconds. After a restart of
  * many the first one that is ready knows only itself: with the usual time all callers of those seconds
  * stay with it, and it held most of them until they were late.
  */
-const UNSETTLED_TTL = 1000;
+const UNSETTLED_ANSWER_TTL_MS = 1000;
 
 /**
  * Parts of the grace in which a stopping daemon takes requests, and waits for those in flight. What it
  * took in the first half may run until the last sixth begins; the rest is left for a busy machine.
  */
-const TAKE_PART = 0.5;
-const WAIT_PART = 0.86;
+const ACCEPTING_RATIO = 0.5;
+const WAITING_RATIO = 0.86;
 
 /** Callers have heard of the stop after this long. */
-const LEAVE_TIME = 2200;
+const LEAVE_NOTICE_MS = 2200;
 
-const STOP_PACE = 20;
+const STOP_CHECK_INTERVAL_MS = 20;
 
-const STATUS_PACE = 5000;
+const STATUS_INTERVAL_MS = 5000;
 
 /** Targets that change in one moment and get a line each. */
-const MOST_CHANGES_TOLD = 32;
+const MAX_CHANGES_LOGGED = 32;
 
 /** The gateway daemon of one VM. */
 export class Gateway {
-  readonly #running = new AbortController();
+  readonly #abortController = new AbortController();
 
   readonly #clock;
 
@@ -111,35 +111,35 @@
 
   readonly #view: FleetView;
 
-  readonly #reader: StoreReader;
+  readonly #storeReader: StoreReader;
 
-  readonly #duty: ReaderRole;
+  readonly #readerRole: ReaderRole;
 
   readonly #roster: Roster;
 
-  readonly #link: PeerLink;
+  readonly #peerLink: PeerLink;
 
-  readonly #feed: FeedClient;
+  readonly #feedClient: FeedClient;
 
-  readonly #exchange: KnowledgeExchange;
+  readonly #knowledgeExchange: KnowledgeExchange;
 
-  readonly #registry: MemberRegistry;
+  readonly #memberRegistry: MemberRegistry;
 
-  readonly #lessons: LearnedStateStore;
+  readonly #learnedState: LearnedStateStore;
 
   readonly #targets: TargetSet;
 
-  readonly #poison: PoisonRegistry;
+  readonly #poisonRegistry: PoisonRegistry;
 
-  readonly #callers: CallerServer;
+  readonly #callerServer: CallerServer;
 
   readonly #prober: Prober;
 
-  readonly #sharing: LoadExchange;
+  readonly #loadExchange: LoadExchange;
 
   readonly #servers: Server[] = [];
 
-  readonly #reception: RequestHandler;
+  readonly #requestHandler: RequestHandler;
 
   #settings: GatewaySettings;
 
@@ -147,21 +147,21 @@
 
   readonly #metrics = new TextMetrics();
 
-  readonly #turns: EventLoopMonitor;
+  readonly #eventLoop: EventLoopMonitor;
 
-  #isRefreshing = false;
+  #isRefreshScheduled = false;
 
   /** Changes of targets since the last refresh, as the fields of their lines. */
-  #changes: LogFields[] = [];
+  #targetChanges: LogFields[] = [];
 
-  readonly #place: FleetRole;
+  readonly #fleetRole: FleetRole;
 
-  readonly #planner: HomePlanner;
+  readonly #homePlanner: HomePlanner;
 
   #lookups = 0;
 
   /** Daemons that the store's list named when this one looked; it may know fewer itself at first. */
-  #listedMembers = 0;
+  #listedMemberCount = 0;
 
   constructor(
     private readonly kernel: Kernel,
@@ -181,39 +181,44 @@
       ...{ ip: gateway.ip, domain: gateway.domain, capacity },
       isSenior: this.#isSenior(),
     });
-    const selfState = () => this.#state;
-    this.#place = new FleetRole({
-      ...{ clock, self: gateway.ip, readRoster: () => this.#roster, readLink: () => this.#link },
-      countListedDaemons: () => this.#listedMembers,
+    const readSelfState = () => this.#state;
+    this.#fleetRole = new FleetRole({
+      ...{
+        clock,
+        self: gateway.ip,
+        readRoster: () => this.#roster,
+        readLink: () => this.#peerLink,
+      },
+      countListedDaemons: () => this.#listedMemberCount,
     });
     this.#roster = new Roster({
-      ...{ clock, self: readSelf(), readSelfState: selfState },
+      ...{ clock, self: readSelf(), readSelfState },
       ...{ minHomes: tuning.homes, minHomeCapacity: tuning.home_capacity },
     });
     this.#targets = new TargetSet({
       ...{ clock, random, domain: gateway.domain },
       findRegion: (domain) => this.#findRegion(domain),
       countHomes: () => this.#roster.listHomes().length,
-      countReportingHomes: () => this.#sharing.countReportingHomes(),
-      readColdStartLimits: (service) => this.#readColdness(service),
-      readShare: () => this.#place.readShare(),
+      countReportingHomes: () => this.#loadExchange.countReportingHomes(),
+      readColdStartLimits: (service) => this.#readColdStartLimits(service),
+      readShare: () => this.#fleetRole.readShare(),
       listener: new TargetEventLog(log, this.#metrics, (target) =>
         this.#targets.getService(target.record.service).rateLimits.refresh(target),
       ),
       createRetryBudget: () =>
         new WindowBudget(clock, () => {
           const { retry_ratio: ratio, retry_window, retry_slack } = this.#settings.promises;
-          const share = this.#place.isHome()
+          const slack = this.#fleetRole.isHome()
             ? retry_slack / (2 * this.#roster.listHomes().length)
             : 0;
-          return { ratio, window: retry_window * 1000, slack: share };
+          return { ratio, window: retry_window * 1000, slack };
         }),
     });
     this.#view = new FleetView({
-      onTable: (table) => this.#adopt(table),
+      onTable: (table) => this.#applyTable(table),
       onTarget: (incarnation, record, revision) => {
-        this.#refreshTargets();
-        this.#changes.push({
+        this.#scheduleTargetRefresh();
+        this.#targetChanges.push({
           ...{ target: incarnation, state: record?.state ?? 'gone', revision },
           service: record?.service,
           cold: record?.coldLeft,
@@ -222,122 +227,128 @@
       onEvacuations: (evacuations) => {
         const { domains, revision } = evacuations;
         log.warn('domains.evacuated', { domains: domains.join(',') || 'none', revision });
-        this.#refreshTargets();
+        this.#scheduleTargetRefresh();
       },
-      onFault: (what) => {
-        log.error('configuration.unreadable', { what });
+      onFault: (problem) => {
+        log.error('configuration.unreadable', { what: problem });
         this.#metrics.count('configuration_unreadable', {});
       },
     });
-    this.#duty = new ReaderRole(
+    this.#readerRole = new ReaderRole(
       clock,
       {
-        isDesignated: () => this.#place.isDesignatedReader(),
+        isDesignated: () => this.#fleetRole.isDesignatedReader(),
         isNearHomes: () => this.#roster.isNearHomes(),
       },
-      () => this.#planNews(),
-      findPatience(gateway),
+      () => this.#planPropagation(),
+      findStateWait(gateway),
     );
-    this.#reader = new StoreReader({
+    this.#storeReader = new StoreReader({
       ...{ store, view: this.#view, clock, random, log },
-      isReader: () => this.#duty.isReader(),
-      getReadDelay: () => this.#duty.getReadDelay(),
-      getMaxBackoff: () => this.#duty.getMaxBackoff(),
-      getWatchTimeout: () => this.#planNews().watchTimeout,
+      isReader: () => this.#readerRole.isReader(),
+      getReadDelay: () => this.#readerRole.getReadDelay(),
+      getMaxBackoff: () => this.#readerRole.getMaxBackoff(),
+      getWatchTimeout: () => this.#planPropagation().watchTimeout,
     });
     const [port = 0] = gateway.peer_ports;
-    this.#planner = new HomePlanner({
+    this.#homePlanner = new HomePlanner({
       ...{ clock, log, roster: this.#roster, self: gateway.ip, capacity },
       readMinHomes: () => this.#settings.tuning.homes,
     });
-    this.#link = new PeerLink({
+    this.#peerLink = new PeerLink({
       ...{
         address: { host: gateway.ip, port },
         readSelf,
-        readSelfState: selfState,
+        readSelfState,
         roster: this.#roster,
       },
       ...{
         clock,
         log,
-        readUtilisation: () => this.#planner.utilisation,
-        readTimes: () => this.#planNews(),
+        readUtilisation: () => this.#homePlanner.utilisation,
+        readTimes: () => this.#planPropagation(),
       },
-      readKnowledge: () => this.#exchange.read(),
+      readKnowledge: () => this.#knowledgeExchange.read(),
       onKnowledge: (from, knowledge) => {
-        this.#exchange.receive(from, knowledge).catch(() => undefined);
+        this.#knowledgeExchange.receive(from, knowledge).catch(() => undefined);
       },
-      onLoadReports: (from, shares) => this.#sharing.receive(from, shares),
-      onDrainingReports: (from, shares) => this.#sharing.receiveDraining(from, shares),
-      onPoisonReports: (from, cases) => this.#poison.receive(from, cases),
+      onLoadReports: (from, reports) => this.#loadExchange.receive(from, reports),
+      onDrainingReports: (from, reports) => this.#loadExchange.receiveDraining(from, reports),
+      onPoisonReports: (from, reports) => this.#poisonRegistry.receive(from, reports),
     });
-    this.#poison = new PoisonRegistry({
+    this.#poisonRegistry = new PoisonRegistry({
       ...{ clock, log, metrics: this.#metrics },
-      mayRunTrials: () => this.#place.isFirstHome(),
-      send: (words) => {
+      mayRunTrials: () => this.#fleetRole.isFirstHome(),
+      send: (reports) => {
         for (const { ip } of this.#roster.listHomes()) {
-          if (ip !== gateway.ip) this.#link.sendPoisonReports(ip, words);
+          if (ip !== gateway.ip) this.#peerLink.sendPoisonReports(ip, reports);
         }
       },
     });
-    this.#feed = new FeedClient(clock, port, ({ delta, members }) => {
+    this.#feedClient = new FeedClient(clock, port, ({ delta, members }) => {
       this.#view.applyDelta(delta, clock.now());
       for (const member of members) this.#roster.addMember(member);
     });
-    this.#exchange = new KnowledgeExchange({
-      ...{ clock, self: gateway.ip, view: this.#view, roster: this.#roster, reader: this.#reader },
+    this.#knowledgeExchange = new KnowledgeExchange({
       ...{
-        duty: this.#duty,
-        feed: this.#feed,
-        listPoisonReports: () => this.#poison.listReports(),
+        clock,
+        self: gateway.ip,
+        view: this.#view,
+        roster: this.#roster,
+        reader: this.#storeReader,
+      },
+      ...{
+        duty: this.#readerRole,
+        feed: this.#feedClient,
+        listPoisonReports: () => this.#poisonRegistry.listReports(),
       },
     });
-    this.#registry = new MemberRegistry({
+    this.#memberRegistry = new MemberRegistry({
       ...{ store, roster: this.#roster, clock, log, isFirstStart: isFirstStart(gateway) },
-      isWriter: () => this.#place.isFirstHome(),
+      isWriter: () => this.#fleetRole.isFirstHome(),
       onFound: (ips) => {
-        this.#listedMembers = ips.length;
-        this.#link.addSeeds(ips);
+        this.#listedMemberCount = ips.length;
+        this.#peerLink.addSeeds(ips);
       },
     });
-    this.#lessons = new LearnedStateStore({
-      ...{ store, clock, log, isHome: () => this.#place.isHome() },
+    this.#learnedState = new LearnedStateStore({
+      ...{ store, clock, log, isHome: () => this.#fleetRole.isHome() },
       isFirstStart: isFirstStart(gateway),
-      isWriter: () => this.#place.isFirstHome(),
+      isWriter: () => this.#fleetRole.isFirstHome(),
       readLearnedState: () => ({
         services: this.#targets.readLearnedState(),
-        routes: this.#reception.readLearnedState(),
+        routes: this.#requestHandler.readLearnedState(),
         homes: this.#roster.desiredHomes,
-        poison: this.#poison.listForStore(),
+        poison: this.#poisonRegistry.listForStore(),
       }),
-      onFound: ({ services, routes, homes, poison }) => {
-        this.#poison.restore(poison);
+      onRead: ({ services, routes, homes, poison }) => {
+        this.#poisonRegistry.restore(poison);
         if (this.#roster.desiredHomes < homes) this.#roster.setDesiredHomes(homes);
         this.#targets.restoreLearnedState(services);
-        this.#reception.restoreLearnedState(routes);
+        this.#requestHandler.restoreLearnedState(routes);
       },
     });
-    this.#turns = new EventLoopMonitor({
+    this.#eventLoop = new EventLoopMonitor({
       ...{ clock, log, metrics: this.#metrics, source: createEventLoopSource() },
       listenQueue: computeListenQueue(capacity),
     });
-    this.#reception = new RequestHandler({
+    this.#requestHandler = new RequestHandler({
       ...{ clock, random, log, targets: this.#targets, metrics: this.#metrics },
-      poison: this.#poison,
-      ...{ turns: this.#turns, onInvariantViolation: (error: Error) => this.#fail(error) },
+      poison: this.#poisonRegistry,
+      ...{ turns: this.#eventLoop, onInvariantViolation: (error: Error) => this.#fail(error) },
       readTable: () => (this.#state === 'starting' ? undefined : this.#view.table),
     });
-    this.#callers = new CallerServer({
-      ...{ address: gateway.callers, clock, turns: this.#turns },
+    this.#callerServer = new CallerServer({
+      ...{ address: gateway.callers, clock, turns: this.#eventLoop },
       listenQueue: computeListenQueue(capacity),
-      serve: (request, response, cameAt) => this.#reception.handle(request, response, cameAt),
+      serve: (request, response, cameAt) => this.#requestHandler.handle(request, response, cameAt),
     });
-    this.#sharing = new LoadExchange({
+    this.#loadExchange = new LoadExchange({
       ...{ clock, targets: this.#targets, self: gateway.ip },
-      listHomes: () => this.#place.listHomes(),
+      listHomes: () => this.#fleetRole.listHomes(),
       isServing: () => this.#targets.isServing(clock.now()),
-      send: (ip, shares) => this.#link.sendLoadReports(ip, shares),
-      sendDraining: (ip, shares) => this.#link.sendDrainingReports(ip, shares),
+      send: (ip, reports) => this.#peerLink.sendLoadReports(ip, reports),
+      sendDraining: (ip, reports) => this.#peerLink.sendDrainingReports(ip, reports),
     });
     this.#prober = new Prober({
       ...{ targets: this.#targets, clock },
@@ -345,9 +356,9 @@
       interval: Math.max(tuning.probe_interval, (2 * 1000) / promises.probes_per_second),
       ...{ self: gateway.ip, listHomes: () => this.#roster.listHomes() },
       readTable: () => this.#view.table,
-      readUtilisation: () => this.#planner.utilisation,
+      readUtilisation: () => this.#homePlanner.utilisation,
       readProbeLimit: () => this.#settings.promises.probes_per_second,
-      countDaemons: () => this.#place.countDaemons(),
+      countDaemons: () => this.#fleetRole.countDaemons(),
     });
   }
 
@@ -365,10 +376,10 @@
   async start(): Promise<void> {
     const { gateway } = this.#settings;
     const [port = 0] = gateway.peer_ports;
-    const { signal } = this.#running;
+    const { signal } = this.#abortController;
     // Every task of this daemon listens for its end, some of them more than once.
     setMaxListeners(0, signal);
-    this.#place.start();
+    this.#fleetRole.start();
     this.#log.info('gateway.starting', {
       ...{ callers: formatAddress(gateway.callers), first_start: gateway.first_start },
       seeds: gateway.seeds.map(({ host }) => host).join(','),
@@ -381,7 +392,7 @@
       })),
       await serveDirectory(
         gateway.directory,
-        (question) => this.#listAddresses(question),
+        (query) => this.#listAddresses(query),
         () => this.#readAnswerTtl(),
       ),
     );
@@ -389,23 +400,23 @@
       this.#metrics.addGauges(() => listGauges(this.#readStatus()));
       this.#servers.push(await serveMetrics(gateway.metrics, () => this.#metrics.format()));
     }
-    await this.#callers.listen();
-    this.#link.addSeeds(gateway.seeds.map(({ host }) => host));
+    await this.#callerServer.listen();
+    this.#peerLink.addSeeds(gateway.seeds.map(({ host }) => host));
     const tasks = [
-      this.#link.run(signal),
-      this.#registry.run(signal),
-      this.#lessons.run(signal),
-      this.#readEarly(signal),
-      this.#reader.run(signal),
+      this.#peerLink.run(signal),
+      this.#memberRegistry.run(signal),
+      this.#learnedState.run(signal),
+      this.#readStoreOnce(signal),
+      this.#storeReader.run(signal),
       this.#prober.run(signal),
-      this.#sharing.run(signal),
-      this.#trim(signal),
-      this.#planner.run(signal),
-      this.#turns.run(signal),
+      this.#loadExchange.run(signal),
+      this.#trimTargets(signal),
+      this.#homePlanner.run(signal),
+      this.#eventLoop.run(signal),
       this.#reportStatus(signal),
     ];
     for (const task of tasks) task.catch((error: Error) => this.#fail(error));
-    await this.#waitReady();
+    await this.#waitUntilReady();
   }
 
   /**
@@ -417,29 +428,32 @@
     const startedAt = clock.now();
     const grace = this.#settings.promises.grace * 1000;
     this.#state = 'stopping';
-    this.#link.pushToPollers();
-    this.#log.info('gateway.stopping', { active: this.#callers.countActive() });
-    this.#callers.drain();
-    while (clock.now() - startedAt < grace * WAIT_PART) {
+    this.#peerLink.pushToPollers();
+    this.#log.info('gateway.stopping', { active: this.#callerServer.countActive() });
+    this.#callerServer.drain();
+    while (clock.now() - startedAt < grace * WAITING_RATIO) {
       const elapsed = clock.now() - startedAt;
-      if (elapsed > grace * TAKE_PART) this.#reception.close();
-      const isQuiet = this.#callers.countActive() === 0;
-      if (isQuiet && elapsed > LEAVE_TIME && this.#callers.countConnections() === 0) break;
-      if (isQuiet && elapsed > grace * TAKE_PART) break;
-      await clock.sleep(STOP_PACE);
+      if (elapsed > grace * ACCEPTING_RATIO) this.#requestHandler.close();
+      const isIdle = this.#callerServer.countActive() === 0;
+      if (isIdle && elapsed > LEAVE_NOTICE_MS && this.#callerServer.countConnections() === 0) break;
+      if (isIdle && elapsed > grace * ACCEPTING_RATIO) break;
+      await clock.sleep(STOP_CHECK_INTERVAL_MS);
     }
-    const left = this.#callers.countActive();
-    this.#reception.close();
-    await this.#callers.closeIdle();
+    const unanswered = this.#callerServer.countActive();
+    this.#requestHandler.close();
+    await this.#callerServer.closeIdle();
     this.destroy();
-    this.#log.info('gateway.stopped', { cut: left, took: Math.round(clock.now() - startedAt) });
+    this.#log.info('gateway.stopped', {
+      cut: unanswered,
+      took: Math.round(clock.now() - startedAt),
+    });
   }
 
   /** Ends at once, as a crash would. */
   destroy(): void {
-    this.#running.abort();
-    this.#callers.close();
-    this.#feed.close();
+    this.#abortController.abort();
+    this.#callerServer.close();
+    this.#feedClient.close();
     for (const server of this.#servers) server.close();
     this.kernel.find(kvStoreService).close();
   }
@@ -448,24 +462,24 @@
    * Reads the store once, cheaply, so as to know something soon. When the whole system starts one reading
    * serves all: with three more of each of 312 daemons, calls to the store grew with the machines.
    */
-  async #readEarly(signal: AbortSignal): Promise<void> {
-    const patience = findPatience(this.#settings.gateway);
-    if (patience > PATIENCE) await this.#clock.sleep(patience, signal);
-    if (!signal.aborted && this.#view.provenAt === -Infinity) await this.#reader.readStale();
+  async #readStoreOnce(signal: AbortSignal): Promise<void> {
+    const stateWait = findStateWait(this.#settings.gateway);
+    if (stateWait > STATE_WAIT_MS) await this.#clock.sleep(stateWait, signal);
+    if (!signal.aborted && this.#view.provenAt === -Infinity) await this.#storeReader.readStale();
   }
 
-  async #waitReady(): Promise<void> {
+  async #waitUntilReady(): Promise<void> {
     const clock = this.#clock;
     const startedAt = clock.now();
     for (;;) {
-      const isProven = clock.now() - this.#view.provenAt < PROVEN_FOR;
-      const isLate = clock.now() - startedAt > START_WAIT;
+      const isProven = clock.now() - this.#view.provenAt < MAX_PROOF_AGE_MS;
+      const isLate = clock.now() - startedAt > MAX_START_WAIT_MS;
       if (this.#view.table !== undefined && (isProven || isLate)) break;
-      await clock.sleep(START_PACE);
+      await clock.sleep(START_CHECK_INTERVAL_MS);
     }
     if (this.#state === 'starting') this.#state = 'ready';
-    this.#duty.recordServing();
-    this.#link.pushToPollers();
+    this.#readerRole.recordServing();
+    this.#peerLink.pushToPollers();
     this.#log.info('gateway.ready', {
       ...{ version: this.#view.table?.version, revision: this.#view.position.targets },
       targets: this.#view.listTargets().length,
@@ -473,30 +487,30 @@
     });
   }
 
-  #planNews(): PropagationTimes {
+  #planPropagation(): PropagationTimes {
     const { config_apply: configApply, drain } = this.#settings.promises;
     return planPropagation(Math.min(configApply, drain));
   }
 
   #findRegion(domain: string): string | undefined {
-    const { domains, domain: own, region } = this.#settings.gateway;
-    if (domain === own) return region;
-    return domains.find((placed) => placed.domain === domain)?.region;
+    const { domains, domain: ownDomain, region } = this.#settings.gateway;
+    if (domain === ownDomain) return region;
+    return domains.find((entry) => entry.domain === domain)?.region;
   }
 
-  #readColdness(service: string): ColdStartLimits {
+  #readColdStartLimits(service: string): ColdStartLimits {
     const { cold_overshoot: overshoot, cold_slack: slack } = this.#settings.promises;
     const spec = this.#view.table?.findService(service);
-    const { coldRate: rate = Infinity, coldTime: time = 0 } = spec ?? {};
-    return { rate, duration: time, overshoot, slack };
+    const { coldRate: rate = Infinity, coldTime: duration = 0 } = spec ?? {};
+    return { rate, duration, overshoot, slack };
   }
 
   #isSenior(): boolean {
-    return isFirstStart(this.#settings.gateway) || this.#place.age > SENIORITY;
+    return isFirstStart(this.#settings.gateway) || this.#fleetRole.age > SENIOR_AGE_MS;
   }
 
-  #adopt(table: RouteTable): void {
-    this.#callers.setLimits(table.limits);
+  #applyTable(table: RouteTable): void {
+    this.#callerServer.setLimits(table.limits);
     // Before that moment the store held no newer one, so it has been there for this long at most.
     const age = this.#clock.now() - this.#view.provenAt;
     if (age < Infinity) this.#metrics.observe('configuration_age_ms', {}, age);
@@ -507,21 +521,21 @@
   }
 
   /** Takes the targets of the view once for all the changes of a moment. */
-  #refreshTargets(): void {
-    if (this.#isRefreshing) return;
-    this.#isRefreshing = true;
+  #scheduleTargetRefresh(): void {
+    if (this.#isRefreshScheduled) return;
+    this.#isRefreshScheduled = true;
     queueMicrotask(() => {
-      this.#isRefreshing = false;
+      this.#isRefreshScheduled = false;
       this.#targets.update(this.#view);
-      this.#tellChanges();
+      this.#logTargetChanges();
     });
   }
 
   /** A line for each target that changed; one in all for a whole list, as hundreds of daemons get it. */
-  #tellChanges(): void {
-    const changes = this.#changes;
-    this.#changes = [];
-    if (changes.length <= MOST_CHANGES_TOLD) {
+  #logTargetChanges(): void {
+    const changes = this.#targetChanges;
+    this.#targetChanges = [];
+    if (changes.length <= MAX_CHANGES_LOGGED) {
       for (const change of changes) this.#log.info('target.changed', change);
       return;
     }
@@ -529,13 +543,13 @@
     this.#log.info('targets.changed', { changed: changes.length, revision });
   }
 
-  #listAddresses(question: ResolveQuery): readonly string[] {
+  #listAddresses(query: ResolveQuery): readonly string[] {
     this.#lookups += 1;
     const { port } = this.#settings.gateway.callers;
     const homes = this.#roster.listHomes();
     // A caller is not sent to another region while its own has somebody.
-    const local = homes.filter(({ domain }) => this.#findRegion(domain) === question.region);
-    const { domain } = question;
+    const local = homes.filter(({ domain }) => this.#findRegion(domain) === query.region);
+    const { domain } = query;
     const chosen = chooseHomes(local.length > 0 ? local : homes, domain, this.#random);
     if (chosen.length > 0) return chosen.map(({ ip }) => `${ip}:${port}`);
     return this.#state === 'ready' ? [formatAddress(this.#settings.gateway.callers)] : [];
@@ -543,41 +557,42 @@
 
   #readAnswerTtl(): number {
     const { promises, tuning } = this.#settings;
-    const usual = Math.min(ANSWER_TTL, promises.answer_ttl * 1000);
-    const { isNew } = this.#place;
-    const isShort = this.#roster.listHomes().length < Math.min(tuning.homes, this.#roster.size);
-    return isNew || isShort ? Math.min(usual, UNSETTLED_TTL) : usual;
+    const usualTtl = Math.min(MAX_ANSWER_TTL_MS, promises.answer_ttl * 1000);
+    const { isNew } = this.#fleetRole;
+    const hasTooFewHomes =
+      this.#roster.listHomes().length < Math.min(tuning.homes, this.#roster.size);
+    return isNew || hasTooFewHomes ? Math.min(usualTtl, UNSETTLED_ANSWER_TTL_MS) : usualTtl;
   }
 
-  async #trim(signal: AbortSignal): Promise<void> {
+  async #trimTargets(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.#clock.sleep(TRIM_PACE, signal);
+      await this.#clock.sleep(TRIM_INTERVAL_MS, signal);
       this.#targets.runPeriodicChecks();
     }
   }
 
   #readStatus(): GatewayStatus {
-    const homes = this.#place.listHomes();
+    const homes = this.#fleetRole.listHomes();
     return {
       ...{
         state: this.#state,
         homes,
-        isHome: this.#place.isHome(),
-        busy: this.#planner.utilisation,
+        isHome: this.#fleetRole.isHome(),
+        utilisation: this.#homePlanner.utilisation,
       },
       members: this.#roster.size,
-      version: this.#view.table?.version,
+      configurationVersion: this.#view.table?.version,
       proofAge: this.#clock.now() - this.#view.provenAt,
-      counts: this.#reception.counts,
+      requests: this.#requestHandler.counts,
       lookups: this.#lookups,
-      accepted: this.#callers.accepted,
-      connections: this.#callers.countConnections(),
-      backlog: this.#reception.backlogSize,
-      unreadable: this.#reader.unreadableCount,
-      evacuated: this.#view.evacuations.domains,
-      heldOut: this.#poison.heldOutCount,
+      connectionsAccepted: this.#callerServer.accepted,
+      connections: this.#callerServer.countConnections(),
+      backlog: this.#requestHandler.backlogSize,
+      unreadableEntries: this.#storeReader.unreadableCount,
+      evacuatedDomains: this.#view.evacuations.domains,
+      heldOutRequests: this.#poisonRegistry.heldOutCount,
       probes: this.#prober.sent,
-      opened: this.#targets.connectionsOpened,
+      targetConnectionsOpened: this.#targets.connectionsOpened,
       storeCalls: this.kernel.find(kvStoreService).counts(),
       services: this.#targets.listServices(),
     };
@@ -586,7 +601,7 @@
   /** Writes now and then what was done and what it cost. */
   async #reportStatus(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.#clock.sleep(STATUS_PACE, signal);
+      await this.#clock.sleep(STATUS_INTERVAL_MS, signal);
       this.#log.info('gateway.status', describeStatus(this.#readStatus()));
     }
   }
--- a/src/gateway/learned-state.ts
+++ b/src/gateway/learned-state.ts
@@ -51,13 +51,13 @@
 export const EMPTY_LEARNED_STATE: LearnedState = { services: {}, routes: {}, homes: 0, poison: [] };
 
 /** A figure that differs by less from the one written is no news. */
-const CHANGED = 0.3;
+const MIN_CHANGE_RATIO = 0.3;
 
 /** Routes in the record; more would make it long, and unknown ones are learnt within some calls. */
-const MOST_ROUTES = 500;
+const MAX_STORED_ROUTES = 500;
 
 /** Time between two looks at whether there is something to write or to read, in milliseconds. */
-const PACE = 5000;
+const CHECK_INTERVAL_MS = 5000;
 
 const SERVICE_FIELDS = ['mean', 'slow', 'life', 'knee'] as const;
 const ROUTE_FIELDS = ['work', 'spread'] as const;
@@ -65,12 +65,12 @@
 /** Keeps the entries that have all their figures; others were written by who knows whom. */
 function filterEntries<T>(value: unknown, fields: readonly string[]): Readonly<Record<string, T>> {
   if (typeof value !== 'object' || value === null) return {};
-  const isWhole = (entry: unknown) =>
+  const isComplete = (entry: unknown) =>
     fields.every((field) => Number((entry as Record<string, unknown> | null)?.[field]) > 0);
-  return Object.fromEntries(Object.entries(value).filter(([, entry]) => isWhole(entry)));
+  return Object.fromEntries(Object.entries(value).filter(([, entry]) => isComplete(entry)));
 }
 
-function isPoison(value: unknown): value is StoredPoisonRequest {
+function isStoredPoisonRequest(value: unknown): value is StoredPoisonRequest {
   const { request, ended, releases, at } = (value ?? {}) as Partial<StoredPoisonRequest>;
   if (typeof request !== 'string' || typeof at !== 'number') return false;
   if (!Array.isArray(ended) || !Array.isArray(releases)) return false;
@@ -88,7 +88,7 @@
       services: filterEntries<LearnedServiceState>(value?.services, SERVICE_FIELDS),
       routes: filterEntries<LearnedRouteState>(value?.routes, ROUTE_FIELDS),
       homes: Number.isInteger(value?.homes) ? Math.max(0, value?.homes ?? 0) : 0,
-      poison: Array.isArray(value?.poison) ? value.poison.filter(isPoison) : [],
+      poison: Array.isArray(value?.poison) ? value.poison.filter(isStoredPoisonRequest) : [],
     };
   } catch {
     return EMPTY_LEARNED_STATE;
@@ -99,34 +99,39 @@
 export function formatLearnedState({ services, routes, homes, poison }: LearnedState): string {
   const round = (_key: string, value: unknown) =>
     typeof value === 'number' ? Math.round(value * 100) / 100 : value;
-  const kept = Object.fromEntries(Object.entries(routes).slice(0, MOST_ROUTES));
-  return JSON.stringify({ services, routes: kept, homes, poison }, round);
+  const storedRoutes = Object.fromEntries(Object.entries(routes).slice(0, MAX_STORED_ROUTES));
+  return JSON.stringify({ services, routes: storedRoutes, homes, poison }, round);
 }
 
-function hasChanged<T extends object>(known: T | undefined, next: T): boolean {
-  if (known === undefined) return true;
-  const before = known as Readonly<Record<string, number>>;
+function hasValueChanged<T extends object>(stored: T | undefined, next: T): boolean {
+  if (stored === undefined) return true;
+  const storedValues = stored as Readonly<Record<string, number>>;
   return Object.entries(next).some(
-    ([field, value]) => Math.abs(value - before[field]) > CHANGED * before[field],
+    ([field, value]) =>
+      Math.abs(value - storedValues[field]) > MIN_CHANGE_RATIO * storedValues[field],
   );
 }
 
 /** Whether other requests are held out, or more targets have ended under one. */
-function hasPoisonChanged(next: LearnedState['poison'], written: LearnedState['poison']): boolean {
-  const name = ({ request, ended }: StoredPoisonRequest) => `${request}/${ended.length}`;
-  const before = new Set(written.map(name));
-  return next.length !== before.size || next.some((it) => !before.has(name(it)));
+function hasPoisonChanged(next: LearnedState['poison'], stored: LearnedState['poison']): boolean {
+  const formatKey = ({ request, ended }: StoredPoisonRequest) => `${request}/${ended.length}`;
+  const storedKeys = new Set(stored.map(formatKey));
+  return (
+    next.length !== storedKeys.size || next.some((request) => !storedKeys.has(formatKey(request)))
+  );
 }
 
 /** Whether something was learnt that the record does not tell, or tells quite differently. */
-export function hasSignificantChange(next: LearnedState, written: LearnedState): boolean {
+export function hasSignificantChange(next: LearnedState, stored: LearnedState): boolean {
   return (
-    hasChanged({ homes: written.homes }, { homes: next.homes }) ||
-    hasPoisonChanged(next.poison, written.poison) ||
-    Object.entries(next.services).some(([name, it]) => hasChanged(written.services[name], it)) ||
+    hasValueChanged({ homes: stored.homes }, { homes: next.homes }) ||
+    hasPoisonChanged(next.poison, stored.poison) ||
+    Object.entries(next.services).some(([name, entry]) =>
+      hasValueChanged(stored.services[name], entry),
+    ) ||
     Object.entries(next.routes)
-      .slice(0, MOST_ROUTES)
-      .some(([name, it]) => hasChanged(written.routes[name], it))
+      .slice(0, MAX_STORED_ROUTES)
+      .some(([name, entry]) => hasValueChanged(stored.routes[name], entry))
   );
 }
 
@@ -143,12 +148,12 @@
   readonly isHome: () => boolean;
   /** What this daemon has learnt. */
   readonly readLearnedState: () => LearnedState;
-  readonly onFound: (lessons: LearnedState) => void;
+  readonly onRead: (state: LearnedState) => void;
 }
 
 /** Reads the record at the start and when calls begin to meet here, and keeps it while that is its duty. */
 export class LearnedStateStore {
-  #written = EMPTY_LEARNED_STATE;
+  #stored = EMPTY_LEARNED_STATE;
 
   #revision = 0;
 
@@ -160,7 +165,7 @@
     if (!isFirstStart) await this.#read(true);
     let wasHome = isHome();
     while (!signal.aborted) {
-      await clock.sleep(PACE, signal);
+      await clock.sleep(CHECK_INTERVAL_MS, signal);
       if (signal.aborted) return;
       if (isHome() && !wasHome) await this.#read(true);
       wasHome = isHome();
@@ -168,29 +173,29 @@
     }
   }
 
-  async #read(isStale: boolean): Promise<void> {
-    const answer = await this.options.store.readItem(KEYS.learnedState, isStale);
+  async #read(allowStale: boolean): Promise<void> {
+    const answer = await this.options.store.readItem(KEYS.learnedState, allowStale);
     if (answer.kind !== 'item' || answer.item.revision < this.#revision) return;
     this.#revision = answer.item.revision;
-    this.#written = parseLearnedState(answer.item.text);
-    this.options.onFound(this.#written);
+    this.#stored = parseLearnedState(answer.item.text);
+    this.options.onRead(this.#stored);
   }
 
   async #write(): Promise<void> {
-    const { store, log, readLearnedState: listLessons } = this.options;
-    const learnt = listLessons();
-    if (!hasSignificantChange(learnt, this.#written)) return;
-    const lessons = {
-      services: { ...this.#written.services, ...learnt.services },
-      routes: { ...learnt.routes, ...this.#written.routes, ...learnt.routes },
-      ...{ homes: learnt.homes, poison: learnt.poison },
+    const { store, log, readLearnedState } = this.options;
+    const learned = readLearnedState();
+    if (!hasSignificantChange(learned, this.#stored)) return;
+    const merged = {
+      services: { ...this.#stored.services, ...learned.services },
+      routes: { ...learned.routes, ...this.#stored.routes, ...learned.routes },
+      ...{ homes: learned.homes, poison: learned.poison },
     };
-    const text = formatLearnedState(lessons);
-    const written = await store.write({ key: KEYS.learnedState, text, expected: this.#revision });
-    log.info('lessons.written', { outcome: written.kind, bytes: text.length });
-    if (written.kind === 'done') {
-      this.#written = parseLearnedState(text);
-      this.#revision = written.revision;
+    const text = formatLearnedState(merged);
+    const outcome = await store.write({ key: KEYS.learnedState, text, expected: this.#revision });
+    log.info('lessons.written', { outcome: outcome.kind, bytes: text.length });
+    if (outcome.kind === 'done') {
+      this.#stored = parseLearnedState(text);
+      this.#revision = outcome.revision;
       return;
     }
     // Somebody else wrote, or the answer was lost: what stands there now is the start of the next try.
--- a/src/gateway/settings.ts
+++ b/src/gateway/settings.ts
@@ -16,17 +16,17 @@
   describeOptionalAddress,
 } from '../settings/schema.js';
 
-const PORT: readonly [number, number] = [1, 65_535];
-const YES_OR_NO = ['true', 'false'] as const;
-const COUNT: readonly [number, number] = [0, 1_000_000];
+const PORT_RANGE: readonly [number, number] = [1, 65_535];
+const BOOLEANS = ['true', 'false'] as const;
+const COUNT_RANGE: readonly [number, number] = [0, 1_000_000];
 
 /** A failure domain and the region that it lies in. */
-export interface PlacedDomain {
+export interface DomainRegion {
   readonly domain: string;
   readonly region: string;
 }
 
-const placedDomain: Field<PlacedDomain> = {
+const domainRegion: Field<DomainRegion> = {
   doc: 'Failure domains and their regions',
   expected: 'domain:region',
   fallback: undefined,
@@ -41,18 +41,18 @@
   ip: describeName('IP number of this VM'),
   domain: describeName('Failure domain of this VM'),
   region: describeName('Region of this VM'),
-  domains: describeList(placedDomain, []),
+  domains: describeList(domainRegion, []),
   callers: describeAddress('Where callers connect'),
   readiness: describeAddress('Where the platform asks whether this daemon is ready'),
   directory: describeAddress('Where callers ask which addresses to use'),
   metrics: describeOptionalAddress('Where metrics are read, at /metrics'),
   peer_ports: describeList(
-    describeInteger('First and last port for daemons among themselves', PORT),
+    describeInteger('First and last port for daemons among themselves', PORT_RANGE),
   ),
   seeds: describeList(describeAddress('Addresses of some other daemons; ports do not matter'), []),
   first_start: describeChoice(
     'Whether the whole system starts for the first time',
-    YES_OR_NO,
+    BOOLEANS,
     'false',
   ),
 } satisfies Fields;
@@ -70,9 +70,9 @@
 const promiseFields = {
   grace: describeInteger(
     'Seconds from the order to stop until the platform ends the process',
-    COUNT,
+    COUNT_RANGE,
   ),
-  answer_ttl: describeInteger('Most seconds for which callers keep an answer', COUNT),
+  answer_ttl: describeInteger('Most seconds for which callers keep an answer', COUNT_RANGE),
   config_apply: describeDuration(
     'Time from the acknowledgement of a configuration until it is in force everywhere',
     2000,
@@ -82,14 +82,18 @@
     2000,
   ),
   retry_ratio: describeNumber('Repeats allowed for each request, over all daemons', [0, 100]),
-  retry_window: describeInteger('Seconds over which repeats are counted', COUNT),
-  retry_slack: describeNumber('Repeats allowed besides, over all daemons', COUNT),
+  retry_window: describeInteger('Seconds over which repeats are counted', COUNT_RANGE),
+  retry_slack: describeNumber('Repeats allowed besides, over all daemons', COUNT_RANGE),
   cold_overshoot: describeNumber(
     'What a cold target may get in a second, as a multiple of what its service says that one bears',
     [0, 1000],
     1,
   ),
-  cold_slack: describeNumber('Requests that a cold target may get in a second besides', COUNT, 0),
+  cold_slack: describeNumber(
+    'Requests that a cold target may get in a second besides',
+    COUNT_RANGE,
+    0,
+  ),
   probes_per_second: describeNumber(
     'Most probes a second and target, over all daemons',
     [0.1, 1_000_000],
--- a/test/lessons.test.ts
+++ b/test/lessons.test.ts
@@ -101,7 +101,7 @@
       const book = new LearnedStateStore({
         ...{ store, clock, log, isWriter: () => isWriter, isHome: () => isWriter },
         isFirstStart: false,
-        ...{ readLearnedState: learnt, onFound: (lessons) => found.push(lessons) },
+        ...{ readLearnedState: learnt, onRead: (lessons) => found.push(lessons) },
       });
       book.run(ends.signal).catch(() => undefined);
       return { found };
