--- a/src/gateway/directory.ts
+++ b/src/gateway/directory.ts
@@ -1,4 +1,4 @@
-/** Small interfaces beside the callers': addresses to use, readiness, metrics. */
+/** The HTTP endpoints besides the callers' own: lookup of addresses, readiness, metrics. */
 import http from 'node:http';
 import { type Address, parseRequestUrl } from '../kernel/index.js';
 import {
@@ -8,7 +8,7 @@
   parseResolveQuery,
 } from '../platform/index.js';
 
-/** Starts a listener whose every answer is made at once from the path and query. */
+/** Starts a listener that computes each answer synchronously from the path and query. */
 function serveAnswers(
   address: Address,
   createAnswer: (url: URL) => { readonly status: number; readonly body: string },
@@ -34,7 +34,7 @@
 const UNAVAILABLE = { status: 503, body: '{}' };
 const NOT_FOUND = { status: 404, body: '{}' };
 
-/** Answers callers that ask which addresses to use, and for how many milliseconds. */
+/** Serves lookups: the addresses that a caller should use, and for how many milliseconds. */
 export function serveDirectory(
   address: Address,
   listAddresses: (query: ResolveQuery) => readonly string[],
@@ -48,7 +48,7 @@
   });
 }
 
-/** Answers the platform's question whether this daemon is ready. */
+/** Serves the platform's readiness check of this daemon. */
 export function serveReadiness(address: Address, isReady: () => boolean): Promise<http.Server> {
   return serveAnswers(address, (url) => {
     if (url.pathname !== PATHS.ready) return NOT_FOUND;
@@ -56,7 +56,7 @@
   });
 }
 
-/** Answers whoever asks for the metrics, as text. */
+/** Serves the metrics as text. */
 export function serveMetrics(address: Address, format: () => string): Promise<http.Server> {
   return serveAnswers(address, (url) =>
     url.pathname === METRICS_PATH ? { status: 200, body: format() } : NOT_FOUND,
--- a/src/gateway/event-loop-monitor.ts
+++ b/src/gateway/event-loop-monitor.ts
@@ -1,46 +1,52 @@
 /**
- * Watches the turns of this daemon's event loop: how late it runs what is due, and how long what it reads
- * may have lain unread.
+ * Monitors this daemon's event loop: how late its timers run, and for how long incoming requests
+ * may have waited unread.
  *
- * In one turn the loop reads whatever has come since it last looked. So while it never waits, a request
- * read now may have come at any time since it looked the last time; nothing in the request tells. Once it
- * has waited, nothing lay unread, and what came later came after the wait.
+ * In one iteration the loop reads everything that has arrived since the last poll. While the loop
+ * is never idle, a request that is read now may have arrived at any time since the previous poll;
+ * nothing in the request says when. After an idle period nothing was left unread, so what is read
+ * next arrived after it.
  *
- * Connections lie longer: the loop accepts one of each listener in a turn. While every turn accepts one,
- * others may wait behind it, and have done so since the first of those turns; but no more of them than the
- * listener lets wait, so none for longer than that many took before it.
+ * Connections can wait longer, because the loop accepts one connection per listener in an
+ * iteration. While every iteration accepts one, others may wait in the listen queue, since the
+ * first of these iterations at the earliest. The length of the listen queue bounds this: no
+ * connection waits longer than it took to accept that many before it.
  */
 import { performance } from 'node:perf_hooks';
 import type { Clock, Log, TextMetrics } from '../kernel/index.js';
 
-/** Time between two looks: short against what a caller notices, and cheap. */
+/** Interval between two measurements: short against the delays that callers notice, and cheap. */
 const MEASURE_INTERVAL_MS = 100;
 
-/** A turn this late is worth a line, in milliseconds; callers of the shortest aims notice half of it. */
+/**
+ * A lag of the event loop is logged from this size on; callers with the shortest target latencies
+ * notice half of it.
+ */
 const LOGGED_LAG_MS = 50;
 
-/** Turns that each accepted a connection for this long are worth a line, in milliseconds. */
+/** A run of iterations that each accepted a connection is logged from this length on. */
 const LOGGED_RUN_MS = 50;
 
-/** Less waiting than this between two turns is within the error of the loop's own account, in milliseconds. */
+/** A shorter idle time between two iterations is within the error of the loop's own measurement. */
 const MIN_IDLE_MS = 0.05;
 
 /**
- * When more connections come than may wait, the kernel puts off the others' handshakes while their callers
- * take them for open, and completes them when it tries again: after one, three and seven seconds, by when
- * most callers have given up.
+ * How long callers may wait after the listen queue was full. When more connections arrive than it
+ * holds, the kernel delays the handshakes of the others, while their callers take them for open. It
+ * completes them when it retries, after one, three and seven seconds; by then most callers have
+ * given up.
  */
 const HANDSHAKE_DELAY_MS = 7500;
 
-/** The event loop as the watch sees it. */
+/** What the monitor reads of the event loop. */
 export interface EventLoopSource {
-  /** Returns for how long the loop has waited for something to happen since the start, in milliseconds. */
+  /** Returns for how long the loop has been idle since the start, in milliseconds. */
   readonly readIdleMs: () => number;
-  /** Calls `action` at the end of this turn, after all that it has read. */
+  /** Calls `action` at the end of this iteration, after everything that it has read. */
   readonly scheduleAfterIteration: (action: () => void) => void;
 }
 
-/** Creates the source of this process's own event loop. */
+/** Creates the source for the event loop of this process. */
 export function createEventLoopSource(): EventLoopSource {
   return {
     readIdleMs: () => performance.eventLoopUtilization().idle,
@@ -50,29 +56,32 @@
   };
 }
 
-/** A moment on the loop's account: what was read then may have come since `earliest`. */
+/** Recorded when a connection is accepted. */
 export interface AcceptMark {
+  /** The first request on the connection may have arrived since this time of the clock. */
   readonly earliest: number;
+  /** Total idle time of the loop at the accept, in milliseconds. */
   readonly idleMs: number;
 }
 
-/** What the watch is made from. */
+/** What the monitor works with. */
 export interface EventLoopMonitorOptions {
   readonly clock: Clock;
   readonly log: Log;
   readonly metrics: TextMetrics;
   readonly source: EventLoopSource;
-  /** Connections that may wait to be accepted. */
+  /** Length of the listen queue: connections that may wait to be accepted. */
   readonly listenQueue: number;
 }
 
-/** The watch of one daemon. */
+/** The event-loop monitor of one daemon. */
 export class EventLoopMonitor {
   #isInIteration = false;
 
+  /** Data that is read in this iteration arrived at this time or later. */
   #earliestArrival: number;
 
-  /** When this turn looked for what has come, at the earliest. */
+  /** When this iteration polled for input, at the earliest. */
   #polledAt: number;
 
   #iterationEndedAt: number;
@@ -81,19 +90,24 @@
 
   #hasAccepted = false;
 
-  /** When the last connections were accepted, as many as may wait behind one another; oldest at the next place. */
+  /**
+   * When the last connections were accepted: a ring buffer as long as the listen queue, whose next
+   * place holds the oldest.
+   */
   readonly #acceptedAt: Float64Array;
 
   /** Connections accepted since the start. */
   accepted = 0;
 
-  /** Since when connections may have waited; undefined while the last turn accepted none. */
+  /**
+   * Since when connections may have been waiting; undefined when the last iteration accepted none.
+   */
   #acceptRunSince: number | undefined;
 
   /** Connections that had been accepted when that began. */
   #acceptedBeforeRun = 0;
 
-  /** When as many connections as may wait had been accepted without a pause. */
+  /** When as many connections as the listen queue holds had last been accepted without a pause. */
   #queueFullAt = -Infinity;
 
   constructor(private readonly options: EventLoopMonitorOptions) {
@@ -105,22 +119,27 @@
     this.#idleMsAtEnd = options.source.readIdleMs();
   }
 
-  /** Whether the last turn accepted a connection, so that others may wait. */
+  /**
+   * Whether the last iteration accepted a connection, so that others may wait in the listen queue.
+   */
   get mayHavePendingConnections(): boolean {
     return this.#acceptRunSince !== undefined;
   }
 
-  /** Whether requests may come now whose callers have waited for a time that nothing here tells. */
+  /**
+   * Whether the listen queue was full a short time ago. Callers of requests that arrive now may
+   * then have waited for an unknown time.
+   */
   get hasRecentListenOverflow(): boolean {
     return this.options.clock.now() - this.#queueFullAt < HANDSHAKE_DELAY_MS;
   }
 
-  /** Calls `action` at the end of this turn, after all that it has read. */
+  /** Calls `action` at the end of this iteration, after everything that it has read. */
   scheduleAfterIteration(action: () => void): void {
     this.options.source.scheduleAfterIteration(action);
   }
 
-  /** Notes that a connection is accepted now. */
+  /** Records that a connection is accepted now. */
   recordAccept(): AcceptMark {
     this.#beginIteration();
     this.#hasAccepted = true;
@@ -137,10 +156,11 @@
   }
 
   /**
-   * Estimates when something came that is read now: in the middle of the time in which it may have.
+   * Estimates when data that is read now arrived: in the middle of the interval in which it may
+   * have arrived.
    *
-   * @param accepted when its connection was accepted, for the first request on it: until the loop has
-   *   waited once more, that connection was not looked at since
+   * @param accepted the mark of the connection, for the first request on it: until the loop has
+   *   been idle once more, the connection has not been read since it was accepted
    */
   estimateArrival(accepted?: AcceptMark): number {
     const now = this.options.clock.now();
@@ -151,7 +171,7 @@
     return (Math.min(earliest, now) + now) / 2;
   }
 
-  /** Measures both until the signal aborts. */
+  /** Measures the lag and the accept run until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, log, metrics } = this.options;
     while (!signal.aborted) {
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -1,4 +1,4 @@
-/** The daemon in front of the users' targets: puts the parts together, starts them, and stops them. */
+/** The gateway daemon of one VM: creates its parts, connects them, starts and stops them. */
 import { setMaxListeners } from 'node:events';
 import type { Server } from 'node:http';
 import {
@@ -42,23 +42,30 @@
 import { TargetEventLog } from './targets/target-events.js';
 import { EventLoopMonitor, createEventLoopSource } from './event-loop-monitor.js';
 
-/** A view that was the newest this shortly ago is proven. */
+/** A view is current when it was confirmed as the newest within this time, in milliseconds. */
 const MAX_PROOF_AGE_MS = 1500;
 
-/** A daemon that starts waits this long for a proof before it serves what it knows unproven. */
+/**
+ * Longest wait of a starting daemon for that confirmation. After it, the daemon serves its
+ * unconfirmed view.
+ */
 const MAX_START_WAIT_MS = 2500;
 
 const START_CHECK_INTERVAL_MS = 25;
 const TRIM_INTERVAL_MS = 500;
 
 /**
- * A daemon that starts waits this long for others to tell it what they know before it reads the store:
- * some ways there and back. When the whole system starts nobody calls yet, and one reading serves all.
+ * How long a starting daemon waits for the state of other daemons before it reads the store itself:
+ * some round trips. On the first start of the whole system there are no callers yet, so it waits
+ * longer and one read of the store serves all daemons.
  */
 const STATE_WAIT_MS = 60;
 const FIRST_START_WAIT_MS = 3000;
 
-/** A daemon that has run this long is no newcomer; callers hold an answer a quarter of this at most. */
+/**
+ * Age from which a daemon is senior and preferred as a home. Callers cache an answer for at most a
+ * quarter of this time.
+ */
 const SENIOR_AGE_MS = 60_000;
 
 function isFirstStart({ first_start: first }: GatewaySettings['gateway']): boolean {
@@ -68,35 +75,36 @@
 function findStateWait(gateway: GatewaySettings['gateway']): number {
   if (!isFirstStart(gateway)) return STATE_WAIT_MS;
   const { seeds, ip } = gateway;
-  // Somebody has to read for the others; they ask seeds every second.
+  // One daemon has to read the store for the others; they poll the seeds every second.
   return seeds[0]?.host === ip ? 0 : FIRST_START_WAIT_MS;
 }
 
-/** How long callers are told to keep an answer, in milliseconds; some keep it three times as long. */
+/** Longest time for which callers are told to cache an answer. Some keep it three times as long. */
 const MAX_ANSWER_TTL_MS = 5000;
 
 /**
- * What a daemon tells callers while it does not know the others yet, in milliseconds. After a restart of
- * many the first one that is ready knows only itself: with the usual time all callers of those seconds
- * stay with it, and it held most of them until they were late.
+ * Cache time for callers while this daemon doesn't know all the others yet. After a restart of many
+ * daemons, the first one that is ready knows only itself. With the usual time, all callers of those
+ * seconds would stay with it, and it would queue most of their requests until they are late.
  */
 const UNSETTLED_ANSWER_TTL_MS = 1000;
 
 /**
- * Parts of the grace in which a stopping daemon takes requests, and waits for those in flight. What it
- * took in the first half may run until the last sixth begins; the rest is left for a busy machine.
+ * Parts of the grace period in which a stopping daemon accepts requests, and in which it waits for
+ * those in flight. A request accepted in the first half may run until 86 % of the period are over;
+ * the rest is headroom for a busy machine.
  */
 const ACCEPTING_RATIO = 0.5;
 const WAITING_RATIO = 0.86;
 
-/** Callers have heard of the stop after this long. */
+/** Callers know that the daemon leaves this long after the stop began. */
 const LEAVE_NOTICE_MS = 2200;
 
 const STOP_CHECK_INTERVAL_MS = 20;
 
 const STATUS_INTERVAL_MS = 5000;
 
-/** Targets that change in one moment and get a line each. */
+/** Up to this many targets that change at once are logged with a line each. */
 const MAX_CHANGES_LOGGED = 32;
 
 /** The gateway daemon of one VM. */
@@ -151,7 +159,7 @@
 
   #isRefreshScheduled = false;
 
-  /** Changes of targets since the last refresh, as the fields of their lines. */
+  /** Changes of targets since the last refresh, as fields of their log lines. */
   #targetChanges: LogFields[] = [];
 
   readonly #fleetRole: FleetRole;
@@ -160,7 +168,10 @@
 
   #lookups = 0;
 
-  /** Daemons that the store's list named when this one looked; it may know fewer itself at first. */
+  /**
+   * Number of daemons in the member list of the store when this daemon read it. The roster may have
+   * fewer at first.
+   */
   #listedMemberCount = 0;
 
   constructor(
@@ -352,7 +363,8 @@
     });
     this.#prober = new Prober({
       ...{ targets: this.#targets, clock },
-      // While calls wait, probes come twice as often; that has to fit the agreed number as well.
+      // While calls wait, targets are probed twice as often; the agreed number has to cover that as
+      // well.
       interval: Math.max(tuning.probe_interval, (2 * 1000) / promises.probes_per_second),
       ...{ self: gateway.ip, listHomes: () => this.#roster.listHomes() },
       readTable: () => this.#view.table,
@@ -363,8 +375,8 @@
   }
 
   /**
-   * Takes changed settings. Addresses and the store stay as they were until the next start; promises
-   * and tuning hold from now on.
+   * Applies changed settings. Addresses and the store stay as they were until the next start; the
+   * sections promises and tuning apply from now on.
    */
   reconfigure(settings: GatewaySettings): void {
     const { promises, tuning, machine, log } = settings;
@@ -372,12 +384,12 @@
     this.#log.info('settings.reloaded', { homes: tuning.homes, retry_ratio: promises.retry_ratio });
   }
 
-  /** Starts everything; resolves when this daemon is ready to serve. */
+  /** Starts all parts; resolves when this daemon is ready to serve. */
   async start(): Promise<void> {
     const { gateway } = this.#settings;
     const [port = 0] = gateway.peer_ports;
     const { signal } = this.#abortController;
-    // Every task of this daemon listens for its end, some of them more than once.
+    // Every task of this daemon listens for the abort, some of them more than once.
     setMaxListeners(0, signal);
     this.#fleetRole.start();
     this.#log.info('gateway.starting', {
@@ -420,8 +432,8 @@
   }
 
   /**
-   * Stops without losing a request: callers hear of it, what is read is answered, and the process
-   * ends before the platform's grace does.
+   * Stops without losing a request: callers are told, accepted requests are answered, and the
+   * process ends before the platform's grace period does.
    */
   async stop(): Promise<void> {
     const clock = this.#clock;
@@ -459,8 +471,9 @@
   }
 
   /**
-   * Reads the store once, cheaply, so as to know something soon. When the whole system starts one reading
-   * serves all: with three more of each of 312 daemons, calls to the store grew with the machines.
+   * Reads the store once, with a cheap stale read, to have a view soon. On the first start of the
+   * whole system one read serves all daemons: three more reads by each of 312 daemons would make
+   * the calls to the store grow with the number of machines.
    */
   async #readStoreOnce(signal: AbortSignal): Promise<void> {
     const stateWait = findStateWait(this.#settings.gateway);
@@ -511,7 +524,8 @@
 
   #applyTable(table: RouteTable): void {
     this.#callerServer.setLimits(table.limits);
-    // Before that moment the store held no newer one, so it has been there for this long at most.
+    // At that moment the store held no newer configuration, so this is the longest time for which
+    // it has been there.
     const age = this.#clock.now() - this.#view.provenAt;
     if (age < Infinity) this.#metrics.observe('configuration_age_ms', {}, age);
     this.#log.info('configuration.adopted', {
@@ -520,7 +534,7 @@
     });
   }
 
-  /** Takes the targets of the view once for all the changes of a moment. */
+  /** Updates the targets from the view, once for all changes of one event-loop iteration. */
   #scheduleTargetRefresh(): void {
     if (this.#isRefreshScheduled) return;
     this.#isRefreshScheduled = true;
@@ -531,7 +545,10 @@
     });
   }
 
-  /** A line for each target that changed; one in all for a whole list, as hundreds of daemons get it. */
+  /**
+   * Logs one line per changed target, or a single line for a whole list, which hundreds of daemons
+   * receive at the same time.
+   */
   #logTargetChanges(): void {
     const changes = this.#targetChanges;
     this.#targetChanges = [];
@@ -547,7 +564,7 @@
     this.#lookups += 1;
     const { port } = this.#settings.gateway.callers;
     const homes = this.#roster.listHomes();
-    // A caller is not sent to another region while its own has somebody.
+    // A caller is not sent to another region while its own region has a home.
     const local = homes.filter(({ domain }) => this.#findRegion(domain) === query.region);
     const { domain } = query;
     const chosen = chooseHomes(local.length > 0 ? local : homes, domain, this.#random);
@@ -598,7 +615,7 @@
     };
   }
 
-  /** Writes now and then what was done and what it cost. */
+  /** Logs the state and the counters periodically. */
   async #reportStatus(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await this.#clock.sleep(STATUS_INTERVAL_MS, signal);
@@ -606,7 +623,7 @@
     }
   }
 
-  /** A task that ends with an error met a broken invariant: the process must not go on. */
+  /** A task that fails has met a broken invariant: the process must not go on. */
   #fail(error: Error): void {
     this.#log.error('gateway.broken', { error: error.stack ?? error.message });
     throw error;
--- a/src/gateway/learned-state.ts
+++ b/src/gateway/learned-state.ts
@@ -1,68 +1,77 @@
 /**
- * What daemons have learnt of services and routes, kept in the platform's store for those that start
- * anew.
+ * Learned state: estimates for services and routes, kept in the platform's store for daemons that
+ * start.
  *
- * The pattern answered: all machines lose power, or many are killed at once, and all callers return
- * within a second. Daemons that know neither how long calls take nor where targets slow down nor how long
- * a report lasts send that second's calls to targets that are slow or full.
+ * Guards against overload after a mass restart: when all machines lose power, or many daemons are
+ * killed at once, all callers return within a second. Daemons that don't know how long calls take,
+ * where targets slow down and how long a load report stays valid would send that second's calls to
+ * targets that are slow or full.
  *
- * The lessons are a start and no decision: whatever a daemon sees itself replaces them, so old or missing
- * ones do no harm. One daemon writes, a few times a day, and only what has changed.
+ * The stored values are initial values only. A daemon replaces them by its own observations, so
+ * outdated or missing ones do no harm. One daemon writes the record, a few times a day, and only
+ * after a significant change.
  */
 import type { BlamedRequest } from '../balance/index.js';
 import type { Clock, Log } from '../kernel/index.js';
 import { KEYS, type KvStore } from '../platform/index.js';
 
-/** What is known of the targets of one service. */
+/** Estimates for the targets of one service. */
 export interface LearnedServiceState {
-  /** Mean slowdown, that of slow targets, and how long a report lasts in milliseconds. */
+  /** Mean slowdown of the targets. */
   readonly mean: number;
+  /** Mean slowdown of slow targets. */
   readonly slow: number;
+  /** How long a load report stays valid, in milliseconds. */
   readonly life: number;
   /** How many times longer a call takes at a nearly full target. */
   readonly knee: number;
 }
 
-/** What is known of the calls of one route. */
+/** Estimates for the calls of one route. */
 export interface LearnedRouteState {
   /** Time of a call at a usual, idle target, in milliseconds. */
   readonly work: number;
-  /** Most calls take no longer than this many times the expected time. */
+  /** Most calls take at most this many times the expected time. */
   readonly spread: number;
 }
 
-/** A request under which targets ended, and which is held out. */
+/** A poison request that is held out: targets ended while they ran it. */
 export interface StoredPoisonRequest extends BlamedRequest {
-  /** When the last of them ended, in milliseconds since 1970. */
+  /** When the last of these targets ended, in milliseconds since 1970. */
   readonly at: number;
 }
 
-/** All lessons, by name of the service or route. */
+/** The learned state, by name of the service or route. */
 export interface LearnedState {
   readonly services: Readonly<Record<string, LearnedServiceState>>;
   readonly routes: Readonly<Record<string, LearnedRouteState>>;
-  /** How many homes the load took. */
+  /** Number of homes that the load needed. */
   readonly homes: number;
-  /** Requests that are held out: after a loss of all power each of them would end targets anew. */
+  /**
+   * Requests that are held out. After a loss of all power each of them would crash targets again.
+   */
   readonly poison: readonly StoredPoisonRequest[];
 }
 
-/** The lessons of a daemon that has learnt nothing. */
+/** The state of a daemon that has learned nothing yet. */
 export const EMPTY_LEARNED_STATE: LearnedState = { services: {}, routes: {}, homes: 0, poison: [] };
 
-/** A figure that differs by less from the one written is no news. */
+/** A value is written again when it differs from the stored one by more than this part of it. */
 const MIN_CHANGE_RATIO = 0.3;
 
-/** Routes in the record; more would make it long, and unknown ones are learnt within some calls. */
+/** Limits the size of the record; missing routes are learned within a few calls. */
 const MAX_STORED_ROUTES = 500;
 
-/** Time between two looks at whether there is something to write or to read, in milliseconds. */
+/** Interval at which the daemon checks whether to read or to write the record. */
 const CHECK_INTERVAL_MS = 5000;
 
 const SERVICE_FIELDS = ['mean', 'slow', 'life', 'knee'] as const;
 const ROUTE_FIELDS = ['work', 'spread'] as const;
 
-/** Keeps the entries that have all their figures; others were written by who knows whom. */
+/**
+ * Keeps the entries that have all fields with positive values; the record may have been written by
+ * anybody.
+ */
 function filterEntries<T>(value: unknown, fields: readonly string[]): Readonly<Record<string, T>> {
   if (typeof value !== 'object' || value === null) return {};
   const isComplete = (entry: unknown) =>
@@ -80,7 +89,7 @@
   );
 }
 
-/** Reads a record; what makes no sense is left out. */
+/** Parses a record; invalid parts are left out. */
 export function parseLearnedState(text: string): LearnedState {
   try {
     const value = JSON.parse(text) as Partial<LearnedState> | null;
@@ -95,7 +104,7 @@
   }
 }
 
-/** Writes a record. */
+/** Formats a record; numbers are rounded to two decimals. */
 export function formatLearnedState({ services, routes, homes, poison }: LearnedState): string {
   const round = (_key: string, value: unknown) =>
     typeof value === 'number' ? Math.round(value * 100) / 100 : value;
@@ -112,16 +121,19 @@
   );
 }
 
-/** Whether other requests are held out, or more targets have ended under one. */
+/**
+ * Whether other requests are held out than stored, or more targets have ended under one of them.
+ */
 function hasPoisonChanged(next: LearnedState['poison'], stored: LearnedState['poison']): boolean {
-  const formatKey = ({ request, ended }: StoredPoisonRequest) => `${request}/${ended.length}`;
-  const storedKeys = new Set(stored.map(formatKey));
-  return (
-    next.length !== storedKeys.size || next.some((request) => !storedKeys.has(formatKey(request)))
-  );
+  const getKey = ({ request, ended }: StoredPoisonRequest) => `${request}/${ended.length}`;
+  const storedKeys = new Set(stored.map(getKey));
+  return next.length !== storedKeys.size || next.some((entry) => !storedKeys.has(getKey(entry)));
 }
 
-/** Whether something was learnt that the record does not tell, or tells quite differently. */
+/**
+ * Whether the new state has entries that the stored one lacks, values that differ significantly, or
+ * other requests that are held out.
+ */
 export function hasSignificantChange(next: LearnedState, stored: LearnedState): boolean {
   return (
     hasValueChanged({ homes: stored.homes }, { homes: next.homes }) ||
@@ -135,23 +147,27 @@
   );
 }
 
-/** What the book is made from. */
+/** What the store of learned state works with. */
 export interface LearnedStateStoreOptions {
   readonly store: KvStore;
   readonly clock: Clock;
   readonly log: Log;
-  /** Whether the whole system starts for the first time: nobody has learnt anything yet. */
+  /** Whether the whole system starts for the first time, so that there is no record yet. */
   readonly isFirstStart: boolean;
-  /** Whether it falls to this daemon to write. */
+  /** Whether this daemon is the one that writes the record. */
   readonly isWriter: () => boolean;
-  /** Whether calls meet at this daemon. */
+  /** Whether this daemon is a home, to which callers send their calls. */
   readonly isHome: () => boolean;
-  /** What this daemon has learnt. */
+  /** Returns what this daemon has learned. */
   readonly readLearnedState: () => LearnedState;
+  /** Called with each state that was read from the store. */
   readonly onRead: (state: LearnedState) => void;
 }
 
-/** Reads the record at the start and when calls begin to meet here, and keeps it while that is its duty. */
+/**
+ * Reads the record at the start and when this daemon becomes a home; writes it while this daemon is
+ * the writer.
+ */
 export class LearnedStateStore {
   #stored = EMPTY_LEARNED_STATE;
 
@@ -198,7 +214,8 @@
       this.#revision = outcome.revision;
       return;
     }
-    // Somebody else wrote, or the answer was lost: what stands there now is the start of the next try.
+    // Another daemon wrote first, or the answer was lost: the next attempt starts from what is
+    // stored now.
     await this.#read(false);
   }
 }
--- a/src/gateway/settings.ts
+++ b/src/gateway/settings.ts
@@ -20,7 +20,7 @@
 const BOOLEANS = ['true', 'false'] as const;
 const COUNT_RANGE: readonly [number, number] = [0, 1_000_000];
 
-/** A failure domain and the region that it lies in. */
+/** A failure domain and the region that it belongs to. */
 export interface DomainRegion {
   readonly domain: string;
   readonly region: string;
@@ -110,7 +110,7 @@
   level: describeChoice('The lowest level that is written', LOG_LEVELS, 'info'),
 } satisfies Fields;
 
-/** The sections of the settings, for the reference. */
+/** The sections of the settings, in the order of the reference. */
 export const gatewaySections = {
   gateway: gatewayFields,
   machine: machineFields,
@@ -123,7 +123,7 @@
 /** The checked settings of a gateway daemon. */
 export type GatewaySettings = SectionValues<typeof gatewaySections>;
 
-/** Checks the text of a settings file; all its mistakes come together. */
+/** Checks the text of a settings file and reports all mistakes at once. */
 export function checkGatewaySettings(
   file: string,
   text: string,
--- a/src/gateway/status.ts
+++ b/src/gateway/status.ts
@@ -1,4 +1,4 @@
-/** What a daemon tells of itself: gauges for whoever asks, and a line now and then. */
+/** The status of a gateway daemon, as gauges of the metrics and as a periodic log line. */
 import type { LogFields } from '../kernel/index.js';
 import type { MemberState } from '../peering/index.js';
 import type { ForwardingCounts } from './requests/forwarding.js';
@@ -6,36 +6,46 @@
 
 /** The state of a daemon at one moment. */
 export interface GatewayStatus {
+  /** Whether this daemon is starting, serving or stopping. */
   readonly state: MemberState;
-  /** IP numbers of the homes, as this daemon works them out. */
+  /** IP numbers of the homes, as this daemon computes them. */
   readonly homes: readonly string[];
+  /** Whether this daemon is one of the homes. */
   readonly isHome: boolean;
-  /** The part of its time in which this daemon was at work of late, from 0 to 1. */
+  /** Recent utilisation of this daemon's event loop, from 0 to 1. */
   readonly utilisation: number;
+  /** Daemons in the roster. */
   readonly members: number;
   /** Version of the configuration in force. */
   readonly configurationVersion: number | undefined;
-  /** Milliseconds since it was last shown that nothing newer is in the store. */
+  /** Milliseconds since the view was last confirmed to be the newest. */
   readonly proofAge: number;
+  /** Requests since the start, by outcome. */
   readonly requests: ForwardingCounts;
+  /** Lookups of addresses since the start. */
   readonly lookups: number;
+  /** Connections of callers accepted since the start. */
   readonly connectionsAccepted: number;
+  /** Open connections of callers. */
   readonly connections: number;
-  /** Requests that were read and are not begun yet. */
+  /** Requests that were read and are not yet started. */
   readonly backlog: number;
-  /** Entries in the store that this daemon read and could not decode. */
+  /** Entries of the store that could not be decoded. */
   readonly unreadableEntries: number;
-  /** Failure domains whose targets take no calls. */
+  /** Failure domains whose targets get no calls. */
   readonly evacuatedDomains: readonly string[];
-  /** Requests that are sent nowhere because targets ended under them. */
+  /** Poison requests that are held out: targets ended while they ran them. */
   readonly heldOutRequests: number;
+  /** Probes sent since the start. */
   readonly probes: number;
+  /** Connections to targets opened since the start. */
   readonly targetConnectionsOpened: number;
+  /** Calls to the store since the start, by kind. */
   readonly storeCalls: Readonly<Record<string, number>>;
   readonly services: readonly TargetService[];
 }
 
-/** Stands for a proof that never came, in the metrics. */
+/** Reported as the age of the proof when there has been none yet. */
 const MISSING_PROOF_AGE_MS = 1_000_000_000;
 
 const BYTES_PER_MB = 1_048_576;
@@ -72,7 +82,7 @@
   return gauges;
 }
 
-/** Describes the state as the fields of a log line. */
+/** Formats the status as the fields of a log line. */
 export function describeStatus(status: GatewayStatus): LogFields {
   const { state, homes, requests, services, storeCalls } = status;
   return {
