--- a/src/kernel/clock.ts
+++ b/src/kernel/clock.ts
@@ -1,7 +1,7 @@
 /** Time as a kernel service, so that a test or a test bench can replace it. */
 import os from 'node:os';
 import { createServiceKey } from './kernel.js';
-import { SuspensionMeter, type TimeSources } from './suspension.js';
+import { SuspensionMeter, type ClockSources } from './suspension.js';
 
 /** A pending timer. */
 export interface Timer {
@@ -46,14 +46,14 @@
   });
 }
 
-const SYSTEM_TIME: TimeSources = {
-  steady: () => performance.now(),
+const SYSTEM_CLOCKS: ClockSources = {
+  monotonic: () => performance.now(),
   wall: () => Date.now(),
   sinceBoot: () => os.uptime() * 1000,
 };
 
 /** Creates the clock of the machine. */
-export function createSystemClock(sources = SYSTEM_TIME): Clock {
+export function createSystemClock(sources = SYSTEM_CLOCKS): Clock {
   const meter = new SuspensionMeter(sources);
   const schedule = (delay: number, action: () => void): Timer => {
     const handle = setTimeout(action, delay);
@@ -61,8 +61,8 @@
   };
   return {
     now: () => {
-      const steady = sources.steady();
-      return steady + meter.read(steady);
+      const monotonic = sources.monotonic();
+      return monotonic + meter.read(monotonic);
     },
     wall: () => sources.wall(),
     schedule,
@@ -70,9 +70,9 @@
   };
 }
 
-interface Pending {
-  readonly at: number;
-  readonly order: number;
+interface PendingTimer {
+  readonly dueAt: number;
+  readonly sequence: number;
   readonly action: () => void;
 }
 
@@ -80,9 +80,9 @@
 export class ManualClock implements Clock {
   #now = 0;
 
-  #order = 0;
+  #nextSequence = 0;
 
-  #pending: readonly Pending[] = [];
+  #pending: readonly PendingTimer[] = [];
 
   readonly #origin: number;
 
@@ -100,12 +100,16 @@
   }
 
   schedule(delay: number, action: () => void): Timer {
-    const entry: Pending = { at: this.#now + Math.max(0, delay), order: this.#order, action };
-    this.#order += 1;
-    this.#pending = [...this.#pending, entry];
+    const timer: PendingTimer = {
+      dueAt: this.#now + Math.max(0, delay),
+      sequence: this.#nextSequence,
+      action,
+    };
+    this.#nextSequence += 1;
+    this.#pending = [...this.#pending, timer];
     return {
       cancel: () => {
-        this.#pending = this.#pending.filter((other) => other !== entry);
+        this.#pending = this.#pending.filter((other) => other !== timer);
       },
     };
   }
@@ -117,21 +121,21 @@
   /** Moves time on by `span`, firing each due timer and letting its continuations run. */
   async advance(span: number): Promise<void> {
     const end = this.#now + span;
-    const settle = () =>
+    const runContinuations = () =>
       new Promise((resolve) => {
         setImmediate(resolve);
       });
     // What is under way may be about to set a timer that falls into this span.
-    await settle();
+    await runContinuations();
     for (;;) {
       const [next] = this.#pending
-        .filter((entry) => entry.at <= end)
-        .sort((a, b) => a.at - b.at || a.order - b.order);
+        .filter((entry) => entry.dueAt <= end)
+        .sort((a, b) => a.dueAt - b.dueAt || a.sequence - b.sequence);
       if (next === undefined) break;
       this.#pending = this.#pending.filter((entry) => entry !== next);
-      this.#now = next.at;
+      this.#now = next.dueAt;
       next.action();
-      await settle();
+      await runContinuations();
     }
     this.#now = end;
   }
--- a/src/kernel/http-exchange.ts
+++ b/src/kernel/http-exchange.ts
@@ -36,13 +36,13 @@
 export const PEER_CONTENT_ENCODING = 'gzip';
 
 /** Longest answer that is unpacked, in bytes: many times the list of a large fleet. */
-const MOST_UNPACKED = 67_108_864;
+const MAX_UNPACKED_BYTES = 67_108_864;
 
-const startGunzip = promisify(gunzip);
+const gunzipAsync = promisify(gunzip);
 
-async function decodeBytes(response: http.IncomingMessage, bytes: Buffer): Promise<Buffer> {
+async function decodeBody(response: http.IncomingMessage, bytes: Buffer): Promise<Buffer> {
   if (response.headers['content-encoding'] !== PEER_CONTENT_ENCODING) return bytes;
-  return startGunzip(bytes, { maxOutputLength: MOST_UNPACKED });
+  return gunzipAsync(bytes, { maxOutputLength: MAX_UNPACKED_BYTES });
 }
 
 async function parseReply(
@@ -55,7 +55,7 @@
     return {
       kind: 'reply',
       status,
-      body: JSON.parse((await decodeBytes(response, bytes)).toString()),
+      body: JSON.parse((await decodeBody(response, bytes)).toString()),
     };
   } catch {
     return { kind: 'failure', sent: true, reason: 'the answer is not JSON' };
@@ -75,7 +75,7 @@
           : { 'content-type': 'application/json', 'content-length': Buffer.byteLength(body) },
     });
     const timer = scheduleLagTolerantTimeout(timeout, () => request.destroy(new Error('timeout')));
-    const conclude = (outcome: HttpReply | HttpFailure) => {
+    const settle = (outcome: HttpReply | HttpFailure) => {
       timer.cancel();
       resolve(outcome);
     };
@@ -87,18 +87,18 @@
       } else sent = true;
     });
     request.on('error', (error: NodeJS.ErrnoException) =>
-      conclude({ kind: 'failure', sent, reason: error.code ?? error.message }),
+      settle({ kind: 'failure', sent, reason: error.code ?? error.message }),
     );
     request.on('response', (response) => {
       const chunks: Buffer[] = [];
       response.on('data', (chunk: Buffer) => chunks.push(chunk));
-      response.on('error', (error) => conclude({ kind: 'failure', sent, reason: error.message }));
+      response.on('error', (error) => settle({ kind: 'failure', sent, reason: error.message }));
       response.on('end', () => {
         if (!response.complete) {
-          conclude({ kind: 'failure', sent, reason: 'the answer broke off' });
+          settle({ kind: 'failure', sent, reason: 'the answer broke off' });
           return;
         }
-        parseReply(response, Buffer.concat(chunks)).then(conclude).catch(reject);
+        parseReply(response, Buffer.concat(chunks)).then(settle).catch(reject);
       });
     });
     request.end(body);
--- a/src/kernel/lag-tolerant-timeout.ts
+++ b/src/kernel/lag-tolerant-timeout.ts
@@ -10,14 +10,14 @@
 
 /** Calls `action` after `delay` milliseconds, unless what comes until then, or is read then, cancels it. */
 export function scheduleLagTolerantTimeout(delay: number, action: () => void): Timer {
-  let look: NodeJS.Immediate | undefined;
+  let immediate: NodeJS.Immediate | undefined;
   const timer = setTimeout(() => {
-    look = setImmediate(action);
+    immediate = setImmediate(action);
   }, delay);
   return {
     cancel: () => {
       clearTimeout(timer);
-      if (look !== undefined) clearImmediate(look);
+      if (immediate !== undefined) clearImmediate(immediate);
     },
   };
 }
--- a/src/kernel/log-format.ts
+++ b/src/kernel/log-format.ts
@@ -24,11 +24,11 @@
 /** One of {@link LOG_LEVELS}. */
 export type LogLevel = (typeof LOG_LEVELS)[number];
 
-const PLAIN = /^[\w.:/@+,-]+$/;
+const UNQUOTED = /^[\w.:/@+,-]+$/;
 
 function formatValue(value: Exclude<LogValue, undefined>): string {
   const text = String(value);
-  return PLAIN.test(text) ? text : JSON.stringify(text);
+  return UNQUOTED.test(text) ? text : JSON.stringify(text);
 }
 
 /** Writes an event as `key=value` pairs; undefined fields are left out. */
--- a/src/kernel/network.ts
+++ b/src/kernel/network.ts
@@ -47,12 +47,12 @@
   return `${address.host}:${address.port}`;
 }
 
-const ADDRESS = /^(\d{1,3}(?:\.\d{1,3}){3}):(\d{1,5})$/;
+const ADDRESS_PATTERN = /^(\d{1,3}(?:\.\d{1,3}){3}):(\d{1,5})$/;
 const MAX_PORT = 65535;
 
 /** Reads `a.b.c.d:port`; returns undefined for anything else. */
 export function parseAddress(text: string): Address | undefined {
-  const match = ADDRESS.exec(text.trim());
+  const match = ADDRESS_PATTERN.exec(text.trim());
   if (match === null) return undefined;
   const [, host = '', digits = ''] = match;
   const port = Number(digits);
@@ -64,9 +64,11 @@
 export function createTcpNetwork(): Network {
   return {
     listen({ address, keys, onConnection }) {
-      const plain = () => net.createServer({ noDelay: true, allowHalfOpen: true }, onConnection);
-      const secure = (pair: KeyPair) => tls.createServer({ ...pair, noDelay: true }, onConnection);
-      const server = keys === undefined ? plain() : secure(keys);
+      const createPlainServer = () =>
+        net.createServer({ noDelay: true, allowHalfOpen: true }, onConnection);
+      const createTlsServer = (pair: KeyPair) =>
+        tls.createServer({ ...pair, noDelay: true }, onConnection);
+      const server = keys === undefined ? createPlainServer() : createTlsServer(keys);
       return new Promise((resolve, reject) => {
         server.once('error', reject);
         server.listen({ host: address.host, port: address.port, backlog: 1024 }, () => {
@@ -170,12 +172,12 @@
         const refusal = new Error(`ECONNREFUSED: ${formatAddress(address)}`);
         return Promise.reject(Object.assign(refusal, { code: 'ECONNREFUSED' }));
       }
-      const near = new MemorySocket();
-      const far = new MemorySocket();
-      near.peer = far;
-      far.peer = near;
-      accept(far);
-      return Promise.resolve(near);
+      const clientEnd = new MemorySocket();
+      const serverEnd = new MemorySocket();
+      clientEnd.peer = serverEnd;
+      serverEnd.peer = clientEnd;
+      accept(serverEnd);
+      return Promise.resolve(clientEnd);
     },
   };
 }
--- a/src/kernel/random.ts
+++ b/src/kernel/random.ts
@@ -16,19 +16,19 @@
 const ID_BYTES = 12;
 
 /** Random bytes are drawn for this many identifiers at once: each draw is a system call. */
-const IDS_DRAWN = 256;
+const IDS_PER_DRAW = 256;
 
 /** Creates the randomness of the machine. */
 export function createSystemRandom(): Random {
-  let drawn = Buffer.alloc(0);
+  let bytes = Buffer.alloc(0);
   let used = 0;
   const id = () => {
-    if (used >= drawn.length) {
-      drawn = randomBytes(ID_BYTES * IDS_DRAWN);
+    if (used >= bytes.length) {
+      bytes = randomBytes(ID_BYTES * IDS_PER_DRAW);
       used = 0;
     }
     used += ID_BYTES;
-    return drawn.toString('hex', used - ID_BYTES, used);
+    return bytes.toString('hex', used - ID_BYTES, used);
   };
   return { next: () => Math.random(), id };
 }
--- a/src/kernel/rate-limited-log.ts
+++ b/src/kernel/rate-limited-log.ts
@@ -4,14 +4,14 @@
 
 /** Lines a second of one event, and how many may come at once; set so that a flood costs little. */
 const LINES_PER_SECOND = 20;
-const LINES_AT_ONCE = 60;
+const MAX_BURST_LINES = 60;
 
 /** Bytes that may wait to be written before lines are dropped. */
-const MAX_WAITING = 262_144;
+const MAX_BUFFERED_BYTES = 262_144;
 
-interface Allowance {
+interface EventBucket {
   tokens: number;
-  at: number;
+  refilledAt: number;
   dropped: number;
 }
 
@@ -28,33 +28,33 @@
   base: LogFields,
   sink: LogSink = process.stdout,
 ): Log {
-  const allowances = new Map<string, Allowance>();
-  const lowest = LOG_LEVELS.indexOf(level);
+  const buckets = new Map<string, EventBucket>();
+  const lowestRank = LOG_LEVELS.indexOf(level);
 
-  function takeAllowance(event: string, now: number): Allowance | undefined {
-    const known = allowances.get(event);
-    const allowance = known ?? { tokens: LINES_AT_ONCE, at: now, dropped: 0 };
-    if (known === undefined) allowances.set(event, allowance);
-    const earned = ((now - allowance.at) / 1000) * LINES_PER_SECOND;
-    allowance.tokens = Math.min(LINES_AT_ONCE, allowance.tokens + earned);
-    allowance.at = now;
-    if (allowance.tokens < 1 || sink.writableLength > MAX_WAITING) {
-      allowance.dropped += 1;
+  function takeToken(event: string, now: number): EventBucket | undefined {
+    const existing = buckets.get(event);
+    const bucket = existing ?? { tokens: MAX_BURST_LINES, refilledAt: now, dropped: 0 };
+    if (existing === undefined) buckets.set(event, bucket);
+    const earned = ((now - bucket.refilledAt) / 1000) * LINES_PER_SECOND;
+    bucket.tokens = Math.min(MAX_BURST_LINES, bucket.tokens + earned);
+    bucket.refilledAt = now;
+    if (bucket.tokens < 1 || sink.writableLength > MAX_BUFFERED_BYTES) {
+      bucket.dropped += 1;
       return undefined;
     }
-    allowance.tokens -= 1;
-    return allowance;
+    bucket.tokens -= 1;
+    return bucket;
   }
 
-  function write(rank: LogLevel, event: string, fields: LogFields = {}): void {
-    if (LOG_LEVELS.indexOf(rank) > lowest) return;
+  function write(lineLevel: LogLevel, event: string, fields: LogFields = {}): void {
+    if (LOG_LEVELS.indexOf(lineLevel) > lowestRank) return;
     const now = clock.now();
-    const allowance = takeAllowance(event, now);
-    if (allowance === undefined) return;
-    const dropped = allowance.dropped === 0 ? undefined : allowance.dropped;
-    allowance.dropped = 0;
+    const bucket = takeToken(event, now);
+    if (bucket === undefined) return;
+    const dropped = bucket.dropped === 0 ? undefined : bucket.dropped;
+    bucket.dropped = 0;
     const line = formatEvent(event, { ...base, ...fields, dropped });
-    sink.write(`time=${new Date(clock.wall()).toISOString()} level=${rank} ${line}\n`);
+    sink.write(`time=${new Date(clock.wall()).toISOString()} level=${lineLevel} ${line}\n`);
   }
 
   return {
--- a/src/kernel/suspension.ts
+++ b/src/kernel/suspension.ts
@@ -7,9 +7,9 @@
  */
 
 /** What is read of the machine. All values are in milliseconds. */
-export interface TimeSources {
+export interface ClockSources {
   /** Monotonic; stands still while the machine is suspended. */
-  steady(): number;
+  monotonic(): number;
   /** Time of day; counts a suspension, and may be set. */
   wall(): number;
   /** Time since boot; counts a suspension, and is never set. */
@@ -17,68 +17,68 @@
 }
 
 /** A leap by less is no suspension: it is below what any lease or age here is counted in. */
-const LEAST_LEAP = 200;
+const MIN_JUMP_MS = 200;
 
 /** The time of day is compared this often, in milliseconds. */
-const LOOK_PACE = 5;
+const COMPARE_INTERVAL_MS = 5;
 
 /** The time since boot is read this often, in milliseconds, to know whether it keeps step with the steady clock. */
-const SAMPLE_PACE = 1000;
+const BOOT_READ_INTERVAL_MS = 1000;
 
 /**
  * The time since boot is believed once it kept step this often in a row. Where it is another machine's, as in some
  * containers, it does not, and a suspension stays unseen rather than a wrong one believed.
  */
-const STEPS_TO_TRUST = 3;
+const MIN_STEADY_READS = 3;
 
 /** Two clocks that were read one after the other on a busy machine differ by so much, in milliseconds. */
-const MOST_DRIFT = 60;
+const MAX_DRIFT_MS = 60;
 
 /** Counts the time for which one machine was suspended. */
 export class SuspensionMeter {
-  #lookedAt: number;
+  #comparedAt: number;
 
-  #offset: number;
+  #wallOffset: number;
 
-  #sampledAt: number;
+  #bootReadAt: number;
 
   #bootOffset: number;
 
-  #steps = 0;
+  #steadyReads = 0;
 
-  #suspended = 0;
+  #suspendedMs = 0;
 
-  constructor(private readonly sources: TimeSources) {
-    const steady = sources.steady();
-    this.#lookedAt = steady;
-    this.#offset = sources.wall() - steady;
-    this.#sampledAt = steady;
-    this.#bootOffset = sources.sinceBoot() - steady;
+  constructor(private readonly sources: ClockSources) {
+    const now = sources.monotonic();
+    this.#comparedAt = now;
+    this.#wallOffset = sources.wall() - now;
+    this.#bootReadAt = now;
+    this.#bootOffset = sources.sinceBoot() - now;
   }
 
-  /** Reads for how long the machine was suspended since the start. @param steady the steady clock's time now */
-  read(steady: number): number {
-    if (steady - this.#lookedAt < LOOK_PACE) return this.#suspended;
-    this.#lookedAt = steady;
-    const offset = this.sources.wall() - steady;
-    const leap = offset - this.#offset;
-    this.#offset = offset;
-    const hasLeapt = Math.abs(leap) >= LEAST_LEAP;
-    if (!hasLeapt && steady - this.#sampledAt < SAMPLE_PACE) return this.#suspended;
-    const bootLeap = this.#sample(steady);
-    const isTrusted = this.#steps >= STEPS_TO_TRUST;
-    if (leap >= LEAST_LEAP && isTrusted && Math.abs(bootLeap - leap) <= 2 * MOST_DRIFT) {
-      this.#suspended += bootLeap;
-    } else this.#steps = Math.abs(bootLeap) <= MOST_DRIFT ? this.#steps + 1 : 0;
-    return this.#suspended;
+  /** Reads for how long the machine was suspended since the start. @param now the steady clock's time now */
+  read(now: number): number {
+    if (now - this.#comparedAt < COMPARE_INTERVAL_MS) return this.#suspendedMs;
+    this.#comparedAt = now;
+    const offset = this.sources.wall() - now;
+    const jump = offset - this.#wallOffset;
+    this.#wallOffset = offset;
+    const hasJumped = Math.abs(jump) >= MIN_JUMP_MS;
+    if (!hasJumped && now - this.#bootReadAt < BOOT_READ_INTERVAL_MS) return this.#suspendedMs;
+    const bootJump = this.#readBootJump(now);
+    const isTrusted = this.#steadyReads >= MIN_STEADY_READS;
+    if (jump >= MIN_JUMP_MS && isTrusted && Math.abs(bootJump - jump) <= 2 * MAX_DRIFT_MS) {
+      this.#suspendedMs += bootJump;
+    } else this.#steadyReads = Math.abs(bootJump) <= MAX_DRIFT_MS ? this.#steadyReads + 1 : 0;
+    return this.#suspendedMs;
   }
 
   /** Reads by how much the time since boot has leapt against the steady clock since it was last read. */
-  #sample(steady: number): number {
-    this.#sampledAt = steady;
-    const bootOffset = this.sources.sinceBoot() - steady;
-    const leap = bootOffset - this.#bootOffset;
+  #readBootJump(now: number): number {
+    this.#bootReadAt = now;
+    const bootOffset = this.sources.sinceBoot() - now;
+    const jump = bootOffset - this.#bootOffset;
     this.#bootOffset = bootOffset;
-    return leap;
+    return jump;
   }
 }
--- a/src/kernel/text-metrics.ts
+++ b/src/kernel/text-metrics.ts
@@ -12,7 +12,7 @@
 const QUANTILES = [50, 90, 99, 99.9] as const;
 
 /** Longest time that a histogram holds, in milliseconds. */
-const LONGEST = 600_000;
+const MAX_RECORDED_MS = 600_000;
 
 function formatName(name: string, labels: Labels): string {
   const pairs = Object.entries(labels).map(([key, value]) => `${key}="${value}"`);
@@ -27,7 +27,7 @@
 
   readonly #histograms = new Map<
     string,
-    { name: string; labels: Labels; h: RecordableHistogram }
+    { name: string; labels: Labels; histogram: RecordableHistogram }
   >();
 
   /** Adds to a counter. */
@@ -39,13 +39,13 @@
   /** Records a time in milliseconds. */
   observe(name: string, labels: Labels, time: number): void {
     const key = formatName(name, labels);
-    const known = this.#histograms.get(key);
-    const entry = known ?? {
+    const existing = this.#histograms.get(key);
+    const entry = existing ?? {
       ...{ name, labels },
-      h: createHistogram({ lowest: 1, highest: LONGEST, figures: 2 }),
+      histogram: createHistogram({ lowest: 1, highest: MAX_RECORDED_MS, figures: 2 }),
     };
-    if (known === undefined) this.#histograms.set(key, entry);
-    entry.h.record(Math.min(LONGEST, Math.max(1, Math.round(time))));
+    if (existing === undefined) this.#histograms.set(key, entry);
+    entry.histogram.record(Math.min(MAX_RECORDED_MS, Math.max(1, Math.round(time))));
   }
 
   /** Adds gauges that are read whenever somebody asks. */
@@ -59,12 +59,12 @@
     for (const read of this.#gauges) {
       for (const [key, value] of Object.entries(read())) lines.push(`${key} ${value}`);
     }
-    for (const { name, labels, h } of this.#histograms.values()) {
+    for (const { name, labels, histogram } of this.#histograms.values()) {
       for (const quantile of QUANTILES) {
         const key = formatName(name, { ...labels, quantile: String(quantile / 100) });
-        lines.push(`${key} ${h.percentile(quantile)}`);
+        lines.push(`${key} ${histogram.percentile(quantile)}`);
       }
-      lines.push(`${formatName(`${name}_count`, labels)} ${h.count}`);
+      lines.push(`${formatName(`${name}_count`, labels)} ${histogram.count}`);
     }
     return `${lines.join('\n')}\n`;
   }
--- a/src/platform/connector.ts
+++ b/src/platform/connector.ts
@@ -4,12 +4,12 @@
 import type { Socket } from 'node:net';
 import type { Address, Network } from '../kernel/index.js';
 
-function limitTime(attempt: Promise<Duplex>, limit: number): Promise<Duplex> {
+function limitTime(attempt: Promise<Duplex>, timeoutMs: number): Promise<Duplex> {
   return new Promise((resolve, reject) => {
     const timer = setTimeout(() => {
       reject(Object.assign(new Error('connect timeout'), { code: 'UND_ERR_CONNECT_TIMEOUT' }));
       attempt.then((socket) => socket.destroy()).catch(() => undefined);
-    }, limit);
+    }, timeoutMs);
     attempt.then(resolve, reject).finally(() => clearTimeout(timer));
   });
 }
@@ -17,17 +17,17 @@
 /**
  * Creates a connector to one address.
  *
- * @param limit longest wait for a connection, in milliseconds
+ * @param timeoutMs longest wait for a connection, in milliseconds
  * @param onOpened called for each connection opened, to count them
  */
 export function createConnector(
   network: Network,
   address: Address,
-  limit: number,
+  timeoutMs: number,
   onOpened: () => void = () => undefined,
 ): buildConnector.connector {
   return (_options, done) => {
-    limitTime(network.connect(address), limit)
+    limitTime(network.connect(address), timeoutMs)
       .then((socket) => {
         onOpened();
         done(null, socket as Socket);
--- a/src/platform/documents.ts
+++ b/src/platform/documents.ts
@@ -35,7 +35,7 @@
 }
 
 /** A message for one fault; thrown and caught within this file only. */
-class Misfit extends Error {
+class DecodeError extends Error {
   constructor(
     readonly what: string,
     readonly expected: string,
@@ -45,26 +45,26 @@
 }
 
 function readObject(value: unknown, what: string): JsonObject {
-  if (!isJsonObject(value)) throw new Misfit(what, 'an object');
+  if (!isJsonObject(value)) throw new DecodeError(what, 'an object');
   return value;
 }
 
 function readList(value: unknown, what: string): readonly unknown[] {
-  if (!Array.isArray(value)) throw new Misfit(what, 'a list');
+  if (!Array.isArray(value)) throw new DecodeError(what, 'a list');
   return value;
 }
 
 function readText(value: unknown, what: string): string {
-  if (typeof value !== 'string') throw new Misfit(what, 'a text');
+  if (typeof value !== 'string') throw new DecodeError(what, 'a text');
   return value;
 }
 
 function readNumber(value: unknown, what: string): number {
-  if (typeof value !== 'number' || !Number.isFinite(value)) throw new Misfit(what, 'a number');
+  if (typeof value !== 'number' || !Number.isFinite(value)) throw new DecodeError(what, 'a number');
   return value;
 }
 
-const KINDS: Readonly<Record<string, RequestKind>> = {
+const REQUEST_KINDS: Readonly<Record<string, RequestKind>> = {
   safe: 'repeatable',
   unsafe: 'once',
   upload: 'upload',
@@ -87,21 +87,22 @@
 function readRegions(
   value: unknown,
   name: string,
-  remarks: string[],
+  warnings: string[],
 ): readonly string[] | undefined {
   if (value === undefined) return undefined;
   if (Array.isArray(value) && value.every((region) => typeof region === 'string')) return value;
-  remarks.push(`${name}: allowed_regions; expected a list of regions`);
+  warnings.push(`${name}: allowed_regions; expected a list of regions`);
   return undefined;
 }
 
-function readRoute(value: unknown, remarks: string[]): Route {
+function readRoute(value: unknown, warnings: string[]): Route {
   const rule = readObject(value, 'rule');
   const name = readText(rule.name, 'rule name');
   const match = readObject(rule.match, `${name}: match`);
   const action = readObject(rule.action, `${name}: action`);
-  const kind = KINDS[readText(rule.kind, `${name}: kind`)];
-  if (kind === undefined) throw new Misfit(`${name}: kind`, Object.keys(KINDS).join(', '));
+  const kind = REQUEST_KINDS[readText(rule.kind, `${name}: kind`)];
+  if (kind === undefined)
+    throw new DecodeError(`${name}: kind`, Object.keys(REQUEST_KINDS).join(', '));
   const timeout = action.timeout_ms;
   return {
     ...{ name, kind, pathPrefix: readText(match.path_prefix, `${name}: path_prefix`) },
@@ -110,32 +111,32 @@
     timeout: timeout === undefined ? Infinity : readNumber(timeout, `${name}: timeout_ms`),
     maxAttempts: readNumber(action.max_attempts ?? 1, `${name}: max_attempts`),
     shares: readShares(action, name),
-    regions: readRegions(rule.allowed_regions ?? action.allowed_regions, name, remarks),
+    regions: readRegions(rule.allowed_regions ?? action.allowed_regions, name, warnings),
   };
 }
 
 /** Reads a number that a service may state; what can't be read costs a remark, not the configuration. */
-function readStated(value: unknown, what: string, remarks: string[]): number | undefined {
+function readOptionalNumber(value: unknown, what: string, warnings: string[]): number | undefined {
   if (value === undefined) return undefined;
   if (typeof value === 'number' && Number.isFinite(value) && value >= 0) return value;
-  remarks.push(`${what}; expected a number from 0 on`);
+  warnings.push(`${what}; expected a number from 0 on`);
   return undefined;
 }
 
-function readService(value: unknown, remarks: string[]): ServiceSpec {
+function readService(value: unknown, warnings: string[]): ServiceSpec {
   const cluster = readObject(value, 'cluster');
   const name = readText(cluster.name, 'cluster name');
-  const read = (key: string) => readStated(cluster[key], `${name}: ${key}`, remarks);
+  const read = (key: string) => readOptionalNumber(cluster[key], `${name}: ${key}`, warnings);
   return {
     name,
     coldRate: read('warmup_per_s') ?? Infinity,
-    coldTime: (read('warmup_s') ?? 0) * MILLISECONDS,
+    coldTime: (read('warmup_s') ?? 0) * MS_PER_SECOND,
     healthPath: typeof cluster.health_path === 'string' ? cluster.health_path : '',
     maxConnections: Number(cluster.max_connections ?? 0),
   };
 }
 
-const MILLISECONDS = 1000;
+const MS_PER_SECOND = 1000;
 
 function readLimits(value: unknown): RequestLimits {
   const limits = readObject(value ?? {}, 'limits');
@@ -152,28 +153,28 @@
   try {
     return read(readObject(JSON.parse(text), 'document'));
   } catch (error) {
-    if (error instanceof Misfit) {
+    if (error instanceof DecodeError) {
       return { kind: 'fault', what: error.what, expected: error.expected };
     }
     return { kind: 'fault', what: String(error), expected: 'JSON' };
   }
 }
 
-const STATES: Readonly<Record<string, TargetRecord['state']>> = {
+const TARGET_STATES: Readonly<Record<string, TargetRecord['state']>> = {
   ready: 'ready',
   draining: 'draining',
 };
 
 function readState(value: unknown): TargetRecord['state'] {
-  const state = typeof value === 'string' ? STATES[value] : undefined;
-  if (state === undefined) throw new Misfit('state', Object.keys(STATES).join(', '));
+  const state = typeof value === 'string' ? TARGET_STATES[value] : undefined;
+  if (state === undefined) throw new DecodeError('state', Object.keys(TARGET_STATES).join(', '));
   return state;
 }
 
-function readWhole(value: unknown, what: string, least: number): number {
+function readInteger(value: unknown, what: string, min: number): number {
   const number = readNumber(value, what);
-  if (!Number.isSafeInteger(number) || number < least) {
-    throw new Misfit(what, `a whole number from ${least} on`);
+  if (!Number.isSafeInteger(number) || number < min) {
+    throw new DecodeError(what, `a whole number from ${min} on`);
   }
   return number;
 }
@@ -181,22 +182,22 @@
 /** Decodes the operators' configuration. */
 export function decodeConfiguration(text: string): RouteTable | DecodeFault {
   return decode(text, (document) => {
-    const remarks: string[] = [];
+    const warnings: string[] = [];
     const routes = new Map<string, readonly Route[]>();
     for (const value of readList(document.listeners, 'listeners')) {
       const listener = readObject(value, 'listener');
       const host = readText(listener.host, 'host').toLowerCase();
       const rules = readList(listener.rule_set, `${host}: rule_set`).map((rule) =>
-        readRoute(rule, remarks),
+        readRoute(rule, warnings),
       );
       routes.set(host, [...(routes.get(host) ?? []), ...rules]);
     }
     return new RouteTable(
       readNumber(document.version, 'version'),
       routes,
-      readList(document.clusters, 'clusters').map((cluster) => readService(cluster, remarks)),
+      readList(document.clusters, 'clusters').map((cluster) => readService(cluster, warnings)),
       readLimits(document.limits),
-      remarks,
+      warnings,
     );
   });
 }
@@ -218,15 +219,15 @@
     const info = readObject(document.info, 'info');
     const status = readObject(document.status, 'status');
     const address = parseAddress(readText(document.address, 'address'));
-    if (address === undefined) throw new Misfit('address', 'a.b.c.d:port');
+    if (address === undefined) throw new DecodeError('address', 'a.b.c.d:port');
     return {
       ...{ incarnation, address },
       service: readText(info.service, 'service'),
       domain: readText(info.zone, 'zone'),
-      slots: readWhole(info.slots, 'slots', 1),
+      slots: readInteger(info.slots, 'slots', 1),
       state: readState(status.state),
       coldLeft: Math.max(0, readNumber(status.warmup_left_ms ?? 0, 'warmup_left_ms')),
-      born: readWhole(document.born ?? 0, 'born', 0),
+      born: readInteger(document.born ?? 0, 'born', 0),
       release: typeof info.version === 'string' ? info.version : undefined,
     };
   });
--- a/src/platform/kv-platform.ts
+++ b/src/platform/kv-platform.ts
@@ -12,22 +12,22 @@
 import { KEYS } from './wire.js';
 
 /** How long a watch waits while nothing changes, in milliseconds; the store takes up to 30,000. */
-const WATCH_WAIT = 20_000;
+const WATCH_TIMEOUT_MS = 20_000;
 
-function makeStored({ key, text, revision }: StoredItem): StoredValue {
+function makeStoredValue({ key, text, revision }: StoredItem): StoredValue {
   return { key, value: text, version: revision };
 }
 
-function describeUnavailable({ reason }: NotApplied | OutcomeUnknown): Unavailable {
+function makeUnavailable({ reason }: NotApplied | OutcomeUnknown): Unavailable {
   return { kind: 'unavailable', reason };
 }
 
-function explainWrite(answer: WriteAnswer): WriteResult {
+function interpretWrite(answer: WriteAnswer): WriteResult {
   switch (answer.kind) {
     case 'done':
       return { kind: 'written', version: answer.revision };
     case 'condition-failed':
-      return { kind: 'conflict', current: answer.current && makeStored(answer.current) };
+      return { kind: 'conflict', current: answer.current && makeStoredValue(answer.current) };
     case 'not-done':
       return { kind: 'refused', reason: answer.reason };
     case 'unknown':
@@ -37,26 +37,26 @@
   }
 }
 
-function explainLease(answer: Awaited<ReturnType<KvStore['grantLease']>>): LeaseResult {
+function interpretLease(answer: Awaited<ReturnType<KvStore['grantLease']>>): LeaseResult {
   switch (answer.kind) {
     case 'held':
     case 'lapsed':
       return answer;
     case 'not-done':
     case 'unknown':
-      return describeUnavailable(answer);
+      return makeUnavailable(answer);
     default:
       return answer satisfies never;
   }
 }
 
 /** Reads all pages under a prefix; `revision` is the store's before the first of them. */
-async function readAll(store: KvStore, prefix: string) {
+async function readAllPages(store: KvStore, prefix: string) {
   const items: StoredItem[] = [];
   let revision: number | undefined;
   for (let after = ''; ;) {
     const page = await store.readItems(prefix, after, false);
-    if (page.kind !== 'items') return describeUnavailable(page);
+    if (page.kind !== 'items') return makeUnavailable(page);
     items.push(...page.items);
     revision ??= page.storeRevision;
     const last = page.items.at(-1);
@@ -80,24 +80,24 @@
     async read(key) {
       const answer = await store.readItem(key, false);
       if (answer.kind === 'absent') return answer;
-      if (answer.kind !== 'item') return describeUnavailable(answer);
-      return { kind: 'found', item: makeStored(answer.item) };
+      if (answer.kind !== 'item') return makeUnavailable(answer);
+      return { kind: 'found', item: makeStoredValue(answer.item) };
     },
     async range(prefix) {
-      const all = await readAll(store, prefix);
+      const all = await readAllPages(store, prefix);
       if (all.kind !== 'all') return all;
-      return { kind: 'items', items: all.items.map(makeStored), version: all.revision };
+      return { kind: 'items', items: all.items.map(makeStoredValue), version: all.revision };
     },
     async swap({ key, value, expect, lease }) {
-      return explainWrite(await store.write({ key, text: value, expected: expect, lease }));
+      return interpretWrite(await store.write({ key, text: value, expected: expect, lease }));
     },
     async remove({ key, expect }) {
-      return explainWrite(await store.remove({ key, expected: expect }));
+      return interpretWrite(await store.remove({ key, expected: expect }));
     },
-    grantLease: async (ttl) => explainLease(await store.grantLease(ttl)),
-    renewLease: async (lease) => explainLease(await store.renewLease(lease)),
+    grantLease: async (ttl) => interpretLease(await store.grantLease(ttl)),
+    renewLease: async (lease) => interpretLease(await store.renewLease(lease)),
     async watch(prefix, after, signal) {
-      const answer = await store.watch(prefix, after, WATCH_WAIT, signal);
+      const answer = await store.watch(prefix, after, WATCH_TIMEOUT_MS, signal);
       switch (answer.kind) {
         case 'events':
           if (answer.events.length === 0) return { kind: 'quiet' };
@@ -106,13 +106,13 @@
           return { kind: 'gap' };
         case 'not-done':
         case 'unknown':
-          return describeUnavailable(answer);
+          return makeUnavailable(answer);
         default:
           return answer satisfies never;
       }
     },
     async vms(): Promise<VmsResult> {
-      const all = await readAll(store, KEYS.vms);
+      const all = await readAllPages(store, KEYS.vms);
       return all.kind === 'all' ? { kind: 'vms', vms: all.items.flatMap(parseVm) } : all;
     },
     close: () => store.close(),
--- a/src/platform/kv-store.ts
+++ b/src/platform/kv-store.ts
@@ -95,12 +95,12 @@
 /** The part of the store that tells what it holds. */
 export interface KvReader {
   /** Reads one key; a `stale` read is cheap and may be seconds old. */
-  readItem(key: string, stale: boolean): Promise<ItemAnswer>;
+  readItem(key: string, allowStale: boolean): Promise<ItemAnswer>;
   /** Reads one page of keys with a prefix; pages together are no snapshot. */
   readItems(
     prefix: string,
     after: string,
-    stale: boolean,
+    allowStale: boolean,
   ): Promise<ItemPage | NotApplied | OutcomeUnknown>;
   /** Waits up to `wait` milliseconds for changes after a revision, or until the signal aborts. */
   watch(prefix: string, after: number, wait: number, signal?: AbortSignal): Promise<WatchAnswer>;
@@ -122,12 +122,12 @@
 export const kvStoreService = createServiceKey<KvStore>('kv-store');
 
 const OK = 200;
-const ABSENT = 404;
+const NOT_FOUND = 404;
 const HISTORY_GONE = 410;
 const CONDITION_FAILED = 412;
 
 /** Statuses by which the store says that it did nothing; 404 of a write names a lease that is over. */
-const REFUSALS = new Set([400, 403, 404, 413, 429, 503]);
+const REFUSED_STATUSES = new Set([400, 403, 404, 413, 429, 503]);
 
 function readFields(value: unknown): JsonObject {
   return isJsonObject(value) ? value : {};
@@ -154,37 +154,40 @@
 /** Decodes a list, leaving out what is none of its items; undefined when it is no list. */
 function decodeList<T>(
   value: unknown,
-  decodeOne: (entry: unknown) => T | undefined,
+  decodeEntry: (entry: unknown) => T | undefined,
 ): readonly T[] | undefined {
   if (!Array.isArray(value)) return undefined;
-  return value.map(decodeOne).filter((entry): entry is T & {} => entry !== undefined);
+  return value.map(decodeEntry).filter((entry): entry is T & {} => entry !== undefined);
 }
 
-const UNREADABLE: OutcomeUnknown = { kind: 'unknown', reason: 'the answer is not in the protocol' };
+const MALFORMED_ANSWER: OutcomeUnknown = {
+  kind: 'unknown',
+  reason: 'the answer is not in the protocol',
+};
 
-function explainFailure(reply: HttpReply | HttpFailure): NotApplied | OutcomeUnknown {
+function interpretFailure(reply: HttpReply | HttpFailure): NotApplied | OutcomeUnknown {
   if (reply.kind === 'failure') {
     return { kind: reply.sent ? 'unknown' : 'not-done', reason: reply.reason };
   }
   const reason = `status ${reply.status}`;
-  return { kind: REFUSALS.has(reply.status) ? 'not-done' : 'unknown', reason };
+  return { kind: REFUSED_STATUSES.has(reply.status) ? 'not-done' : 'unknown', reason };
 }
 
-function explainWrite(key: string, reply: HttpReply | HttpFailure): WriteAnswer {
+function interpretWrite(key: string, reply: HttpReply | HttpFailure): WriteAnswer {
   if (reply.kind === 'reply' && reply.status === CONDITION_FAILED) {
     const items = decodeList(readFields(reply.body).items, decodeItem);
     return { kind: 'condition-failed', current: items?.find((item) => item.key === key) };
   }
-  if (reply.kind !== 'reply' || reply.status !== OK) return explainFailure(reply);
+  if (reply.kind !== 'reply' || reply.status !== OK) return interpretFailure(reply);
   const { revision } = readFields(reply.body);
-  return typeof revision === 'number' ? { kind: 'done', revision } : UNREADABLE;
+  return typeof revision === 'number' ? { kind: 'done', revision } : MALFORMED_ANSWER;
 }
 
-function explainLease(reply: HttpReply | HttpFailure): LeaseAnswer {
-  if (reply.kind === 'reply' && reply.status === ABSENT) return { kind: 'lapsed' };
-  if (reply.kind !== 'reply' || reply.status !== OK) return explainFailure(reply);
+function interpretLease(reply: HttpReply | HttpFailure): LeaseAnswer {
+  if (reply.kind === 'reply' && reply.status === NOT_FOUND) return { kind: 'lapsed' };
+  if (reply.kind !== 'reply' || reply.status !== OK) return interpretFailure(reply);
   const { lease, ttl_ms: ttl } = readFields(reply.body);
-  if (typeof lease !== 'number' || typeof ttl !== 'number') return UNREADABLE;
+  if (typeof lease !== 'number' || typeof ttl !== 'number') return MALFORMED_ANSWER;
   return { kind: 'held', lease: String(lease), ttl };
 }
 
@@ -204,38 +207,38 @@
 export function createKvStore(
   address: Address,
   timeout: number,
-  maxSockets = FEW_SOCKETS,
+  maxSockets = DEFAULT_MAX_SOCKETS,
 ): KvStore {
   const agent = new http.Agent({ keepAlive: true, maxSockets, scheduling: 'lifo' });
-  const made: Record<string, number> = {};
+  const callCounts: Record<string, number> = {};
 
   function call(kind: string, path: string, options: CallOptions = {}) {
-    made[kind] = (made[kind] ?? 0) + 1;
+    callCounts[kind] = (callCounts[kind] ?? 0) + 1;
     const { wait = 0, body, signal } = options;
     const method = options.method ?? (body === undefined ? 'GET' : 'POST');
     return exchangeHttp({ agent, address, method, path, body, signal, timeout: timeout + wait });
   }
 
   return {
-    async readItem(key, stale) {
-      const path = `/kv-key?key_file=${encodeURIComponent(key)}${stale ? '&allow_stale=1' : ''}`;
-      const reply = await call(stale ? 'read-stale' : 'read', path);
-      if (reply.kind === 'reply' && reply.status === ABSENT) return { kind: 'absent' };
-      if (reply.kind !== 'reply' || reply.status !== OK) return explainFailure(reply);
+    async readItem(key, allowStale) {
+      const path = `/kv-key?key_file=${encodeURIComponent(key)}${allowStale ? '&allow_stale=1' : ''}`;
+      const reply = await call(allowStale ? 'read-stale' : 'read', path);
+      if (reply.kind === 'reply' && reply.status === NOT_FOUND) return { kind: 'absent' };
+      if (reply.kind !== 'reply' || reply.status !== OK) return interpretFailure(reply);
       const item = decodeItem(reply.body);
       const { store_revision: storeRevision } = readFields(reply.body);
-      if (item === undefined || typeof storeRevision !== 'number') return UNREADABLE;
+      if (item === undefined || typeof storeRevision !== 'number') return MALFORMED_ANSWER;
       return { kind: 'item', item, storeRevision };
     },
-    async readItems(prefix, after, stale) {
+    async readItems(prefix, after, allowStale) {
       const query = new URLSearchParams({ path_prefix: prefix });
       if (after !== '') query.set('after', after);
-      if (stale) query.set('allow_stale', '1');
-      const reply = await call(stale ? 'range-stale' : 'range', `/kv-range?${query}`);
-      if (reply.kind !== 'reply' || reply.status !== OK) return explainFailure(reply);
+      if (allowStale) query.set('allow_stale', '1');
+      const reply = await call(allowStale ? 'range-stale' : 'range', `/kv-range?${query}`);
+      if (reply.kind !== 'reply' || reply.status !== OK) return interpretFailure(reply);
       const { items: listed, truncated, store_revision: storeRevision } = readFields(reply.body);
       const items = decodeList(listed, decodeItem);
-      if (items === undefined || typeof storeRevision !== 'number') return UNREADABLE;
+      if (items === undefined || typeof storeRevision !== 'number') return MALFORMED_ANSWER;
       return { kind: 'items', items, storeRevision, hasMore: truncated === true };
     },
     async watch(prefix, after, wait, signal) {
@@ -244,10 +247,10 @@
       query.set('wait_ms', String(Math.round(wait)));
       const reply = await call('watch', `/kv-watch?${query}`, { wait, signal });
       if (reply.kind === 'reply' && reply.status === HISTORY_GONE) return { kind: 'history-gone' };
-      if (reply.kind !== 'reply' || reply.status !== OK) return explainFailure(reply);
-      const { events: told, store_revision: storeRevision } = readFields(reply.body);
-      const events = decodeList(told, decodeEvent);
-      if (events === undefined || typeof storeRevision !== 'number') return UNREADABLE;
+      if (reply.kind !== 'reply' || reply.status !== OK) return interpretFailure(reply);
+      const { events: listed, store_revision: storeRevision } = readFields(reply.body);
+      const events = decodeList(listed, decodeEvent);
+      if (events === undefined || typeof storeRevision !== 'number') return MALFORMED_ANSWER;
       return { kind: 'events', events, storeRevision };
     },
     async write({ key, text, expected, lease = '0' }) {
@@ -257,27 +260,27 @@
         set_keys: [{ key_file: key, value, lease: Number(lease) }],
         remove: [],
       });
-      return explainWrite(key, await call('write', '/kv-txn', { body }));
+      return interpretWrite(key, await call('write', '/kv-txn', { body }));
     },
     async remove({ key, expected }) {
       const body = JSON.stringify({
         expected_revision: [{ key_file: key, revision: expected }],
         ...{ set_keys: [], remove: [key] },
       });
-      return explainWrite(key, await call('remove', '/kv-txn', { body }));
+      return interpretWrite(key, await call('remove', '/kv-txn', { body }));
     },
     async grantLease(ttl) {
       const body = JSON.stringify({ ttl_ms: Math.round(ttl) });
-      return explainLease(await call('lease', '/kv-lease', { body }));
+      return interpretLease(await call('lease', '/kv-lease', { body }));
     },
     async renewLease(lease) {
       const path = `/kv-keep/${encodeURIComponent(lease)}`;
-      return explainLease(await call('renewal', path, { method: 'POST' }));
+      return interpretLease(await call('renewal', path, { method: 'POST' }));
     },
-    counts: () => ({ ...made }),
+    counts: () => ({ ...callCounts }),
     close: () => agent.destroy(),
   };
 }
 
 /** What a gateway needs: one connection for each prefix that is watched, and some to spare. */
-const FEW_SOCKETS = 4;
+const DEFAULT_MAX_SOCKETS = 4;
--- a/src/platform/metered.ts
+++ b/src/platform/metered.ts
@@ -20,7 +20,7 @@
 export class TokenBucket {
   #tokens: number;
 
-  #at: number;
+  #refilledAt: number;
 
   constructor(
     private readonly rate: number,
@@ -28,16 +28,19 @@
     private readonly clock: Clock,
   ) {
     this.#tokens = burst;
-    this.#at = clock.now();
+    this.#refilledAt = clock.now();
   }
 
   /** Takes one token, or another number of them, if that many are there. */
-  take(price = 1): boolean {
+  take(tokens = 1): boolean {
     const now = this.clock.now();
-    this.#tokens = Math.min(this.burst, this.#tokens + ((now - this.#at) / 1000) * this.rate);
-    this.#at = now;
-    if (this.#tokens < price) return false;
-    this.#tokens -= price;
+    this.#tokens = Math.min(
+      this.burst,
+      this.#tokens + ((now - this.#refilledAt) / 1000) * this.rate,
+    );
+    this.#refilledAt = now;
+    if (this.#tokens < tokens) return false;
+    this.#tokens -= tokens;
     return true;
   }
 }
@@ -57,7 +60,7 @@
     ...{ grantLease: 0, renewLease: 0, watch: 0, vms: 0 },
   };
   let heldBack = 0;
-  const spend = (kind: CallKind): boolean => {
+  const takeCall = (kind: CallKind): boolean => {
     if (!bucket.take()) {
       heldBack += 1;
       return false;
@@ -66,15 +69,15 @@
     return true;
   };
   return {
-    read: async (key) => (spend('read') ? inner.read(key) : HELD_BACK),
-    range: async (prefix) => (spend('range') ? inner.range(prefix) : HELD_BACK),
-    swap: async (swap) => (spend('swap') ? inner.swap(swap) : REFUSED),
-    remove: async (removal) => (spend('remove') ? inner.remove(removal) : REFUSED),
-    grantLease: async (ttl) => (spend('grantLease') ? inner.grantLease(ttl) : HELD_BACK),
-    renewLease: async (lease) => (spend('renewLease') ? inner.renewLease(lease) : HELD_BACK),
+    read: async (key) => (takeCall('read') ? inner.read(key) : HELD_BACK),
+    range: async (prefix) => (takeCall('range') ? inner.range(prefix) : HELD_BACK),
+    swap: async (swap) => (takeCall('swap') ? inner.swap(swap) : REFUSED),
+    remove: async (removal) => (takeCall('remove') ? inner.remove(removal) : REFUSED),
+    grantLease: async (ttl) => (takeCall('grantLease') ? inner.grantLease(ttl) : HELD_BACK),
+    renewLease: async (lease) => (takeCall('renewLease') ? inner.renewLease(lease) : HELD_BACK),
     watch: async (prefix, after, signal) =>
-      spend('watch') ? inner.watch(prefix, after, signal) : HELD_BACK,
-    vms: async () => (spend('vms') ? inner.vms() : HELD_BACK),
+      takeCall('watch') ? inner.watch(prefix, after, signal) : HELD_BACK,
+    vms: async () => (takeCall('vms') ? inner.vms() : HELD_BACK),
     counts: () => ({ made: { ...made }, heldBack }),
   };
 }
--- a/src/platform/self-report.ts
+++ b/src/platform/self-report.ts
@@ -47,17 +47,17 @@
   readonly isSigned: boolean;
 }
 
-const USUAL_PERCENT = 100;
+const NORMAL_PERCENT = 100;
 
-const UNAVAILABLE = 503;
+const UNAVAILABLE_STATUS = 503;
 
-const MILLISECONDS = 1000;
+const MS_PER_SECOND = 1000;
 
 /** A plain decimal number: no sign, no exponent, no other base. */
 const DECIMAL = /^(\d+\.?\d*|\.\d+)$/;
 
 /** Digits beyond these say nothing of a rate or a time. */
-const LONGEST_NUMBER = 20;
+const MAX_NUMBER_LENGTH = 20;
 
 /** Reads a header; one that Node keeps as a list counts by its first value. */
 export function readHeader(headers: IncomingHttpHeaders, name: string): string | undefined {
@@ -66,21 +66,21 @@
 }
 
 function isDecimal(text: string): boolean {
-  return text.length <= LONGEST_NUMBER && DECIMAL.test(text);
+  return text.length <= MAX_NUMBER_LENGTH && DECIMAL.test(text);
 }
 
-function rejectText(text: string): { readonly kind: 'unreadable'; readonly text: string } {
-  return { kind: 'unreadable', text: text.slice(0, LONGEST_NUMBER) };
+function makeUnreadable(text: string): { readonly kind: 'unreadable'; readonly text: string } {
+  return { kind: 'unreadable', text: text.slice(0, MAX_NUMBER_LENGTH) };
 }
 
 /** Reads the load header: running, waiting, slots, and the slowdown in hundredths. */
 export function parseLoad(text: string | undefined): LoadReport | undefined {
   if (text === undefined) return undefined;
-  const [running, waiting, slots, percent = USUAL_PERCENT] = text.split(',').map(Number);
+  const [running, waiting, slots, percent = NORMAL_PERCENT] = text.split(',').map(Number);
   if (![running, waiting, slots, percent].every((value) => Number.isFinite(value) && value >= 0)) {
     return undefined;
   }
-  return { running, waiting, slots, slowdown: percent / USUAL_PERCENT };
+  return { running, waiting, slots, slowdown: percent / NORMAL_PERCENT };
 }
 
 /** Reads for how long a target says that it is still cold, in milliseconds; undefined when it says nothing. */
@@ -92,19 +92,21 @@
 /** Reads the rate that a target names; one that is named twice comes as two numbers and is unreadable. */
 export function parseRate(text: string | undefined): ReportedRate {
   if (text === undefined) return { kind: 'silent' };
-  return isDecimal(text) ? { kind: 'named', rate: Number(text) } : rejectText(text);
+  return isDecimal(text) ? { kind: 'named', rate: Number(text) } : makeUnreadable(text);
 }
 
 /** Reads whether a target says that it is draining. */
 export function parseDraining(text: string | undefined): ReportedDraining {
   if (text === undefined) return { kind: 'silent' };
-  return text === '1' ? { kind: 'draining' } : rejectText(text);
+  return text === '1' ? { kind: 'draining' } : makeUnreadable(text);
 }
 
 /** Reads for how many seconds a target asks to be left alone; a date names no time that two clocks agree on. */
 export function parseBackoff(text: string | undefined): ReportedBackoff {
   if (text === undefined) return { kind: 'silent' };
-  return isDecimal(text) ? { kind: 'asked', time: Number(text) * MILLISECONDS } : rejectText(text);
+  return isDecimal(text)
+    ? { kind: 'asked', time: Number(text) * MS_PER_SECOND }
+    : makeUnreadable(text);
 }
 
 /** Decodes what the head of an answer says of its target. */
@@ -118,7 +120,7 @@
     coldLeft: parseColdLeft(read(HEADERS.coldLeft)),
     rate: parseRate(read(HEADERS.rate)),
     draining: parseDraining(read(HEADERS.draining)),
-    backoff: parseBackoff(status === UNAVAILABLE ? read(HEADERS.retryAfter) : undefined),
+    backoff: parseBackoff(status === UNAVAILABLE_STATUS ? read(HEADERS.retryAfter) : undefined),
     incarnation: read(HEADERS.incarnation),
     isRejected: read(HEADERS.notRun) !== undefined,
     isMisdirected: status === MISDIRECTED_STATUS,
--- a/src/settings/entry.ts
+++ b/src/settings/entry.ts
@@ -91,14 +91,14 @@
 /** The checked settings of an entry daemon. */
 export type EntrySettings = SectionValues<typeof entrySections>;
 
-const MIN_SECRET = 16;
+const MIN_SECRET_LENGTH = 16;
 
-function checkMeaning(file: string, settings: EntrySettings): readonly Mistake[] {
+function checkConsistency(file: string, settings: EntrySettings): readonly Mistake[] {
   const mistakes: Mistake[] = [];
   const report = (what: string, expected: string) =>
     mistakes.push({ file, line: 0, what, expected });
-  if (settings.security.peer_secret.length < MIN_SECRET) {
-    report('[security] peer_secret is too short', `at least ${MIN_SECRET} characters`);
+  if (settings.security.peer_secret.length < MIN_SECRET_LENGTH) {
+    report('[security] peer_secret is too short', `at least ${MIN_SECRET_LENGTH} characters`);
   }
   for (const side of ['admin', 'callers'] as const) {
     const cert = settings.security[`${side}_cert`];
@@ -108,8 +108,8 @@
     }
   }
   const { peers_cert: cert, peers_key: key, peers_ca: ca } = settings.security;
-  const given = [cert, key, ca].filter((path) => path !== '').length;
-  if (given !== 0 && given !== 3) {
+  const givenCount = [cert, key, ca].filter((path) => path !== '').length;
+  if (givenCount !== 0 && givenCount !== 3) {
     report('[security] has only some of peers_cert, peers_key, peers_ca', 'all or none');
   }
   return mistakes;
@@ -121,7 +121,7 @@
   text: string,
 ): Either<readonly Mistake[], EntrySettings> {
   return checkSettingsFile(file, text, entrySections).chain((settings) => {
-    const meaning = checkMeaning(file, settings);
-    return meaning.length > 0 ? Left(meaning) : Right(settings);
+    const mistakes = checkConsistency(file, settings);
+    return mistakes.length > 0 ? Left(mistakes) : Right(settings);
   });
 }
--- a/src/settings/file.ts
+++ b/src/settings/file.ts
@@ -28,9 +28,9 @@
   }
   const checked: Record<string, unknown> = {};
   for (const [name, fields] of Object.entries(sections)) {
-    const found = ini.sections.find((section) => section.name === name);
-    checkSection(file, found ?? { name, line: 0, entries: [] }, fields)
-      .ifLeft((more) => mistakes.push(...more))
+    const section = ini.sections.find((candidate) => candidate.name === name);
+    checkSection(file, section ?? { name, line: 0, entries: [] }, fields)
+      .ifLeft((found) => mistakes.push(...found))
       .ifRight((values) => {
         checked[name] = values;
       });
--- a/src/settings/ini.ts
+++ b/src/settings/ini.ts
@@ -36,9 +36,9 @@
   readonly mistakes: readonly Mistake[];
 }
 
-const COMMENT = /^\s*(?:[;#].*)?$/;
-const SECTION = /^\s*\[([^\]]+)\]\s*$/;
-const ENTRY = /^\s*([^=[\]\s][^=]*?)\s*=(.*)$/;
+const COMMENT_LINE = /^\s*(?:[;#].*)?$/;
+const SECTION_LINE = /^\s*\[([^\]]+)\]\s*$/;
+const ENTRY_LINE = /^\s*([^=[\]\s][^=]*?)\s*=(.*)$/;
 
 /** Writes a mistake as `file:line: what; expected …`. */
 export function formatMistake({ file, line, what, expected }: Mistake): string {
@@ -46,11 +46,11 @@
   return `${place}: ${what}; expected ${expected}`;
 }
 
-const QUOTED = /^\s*(["']).*\1\s*$/;
+const QUOTED_VALUE = /^\s*(["']).*\1\s*$/;
 
 /** Comments stand on lines of their own, so the library must not end a value at a `;` or `#`. */
 function readValue(text: string): string {
-  const escaped = QUOTED.test(text) ? text : text.replace(/[;#]/g, '\\$&');
+  const escaped = QUOTED_VALUE.test(text) ? text : text.replace(/[;#]/g, '\\$&');
   const parsed = parse(`value =${escaped}`) as Readonly<Record<string, unknown>>;
   const { value } = parsed;
   return value === undefined || value === null ? '' : String(value);
@@ -71,8 +71,8 @@
   const lines = text.split(/\r?\n/);
   for (const [index, content] of lines.entries()) {
     const line = index + 1;
-    if (COMMENT.test(content)) continue;
-    const header = SECTION.exec(content)?.[1]?.trim();
+    if (COMMENT_LINE.test(content)) continue;
+    const header = SECTION_LINE.exec(content)?.[1]?.trim();
     if (header !== undefined) {
       const earlier = sections.find((section) => section.name === header);
       if (earlier !== undefined) {
@@ -85,7 +85,7 @@
       sections.push({ name: header, line, entries: [] });
       continue;
     }
-    const match = ENTRY.exec(content);
+    const match = ENTRY_LINE.exec(content);
     if (match === null) {
       report(line, `"${content.trim()}" cannot be read`, 'a [section], key = value, or ; comment');
       continue;
--- a/src/settings/schema.ts
+++ b/src/settings/schema.ts
@@ -66,7 +66,7 @@
   return { ...number, expected: `a whole number from ${min} to ${max}`, read };
 }
 
-const UNITS: Readonly<Record<string, number>> = { ms: 1, s: 1000, m: 60_000, h: 3_600_000 };
+const UNIT_MS: Readonly<Record<string, number>> = { ms: 1, s: 1000, m: 60_000, h: 3_600_000 };
 
 /** Describes a duration such as `250ms`, `5s`, `2m` or `1h`; its value is in milliseconds. */
 export function describeDuration(doc: string, fallback?: number): Field<number> {
@@ -74,7 +74,7 @@
     const match = /^(\d+(?:\.\d+)?)(ms|s|m|h)$/.exec(text);
     if (match === null) return undefined;
     const [, amount = '', unit = ''] = match;
-    return Number(amount) * (UNITS[unit] ?? 0);
+    return Number(amount) * (UNIT_MS[unit] ?? 0);
   };
   return { doc, expected: 'a duration such as 250ms, 5s, 2m or 1h', fallback, read };
 }
--- a/src/settings/suggest.ts
+++ b/src/settings/suggest.ts
@@ -1,8 +1,8 @@
 /** Suggestions for misspelt names. */
 
-const CLOSE_ENOUGH = 3;
+const MAX_EDIT_DISTANCE = 3;
 
-function measureDistance(a: string, b: string): number {
+function computeEditDistance(a: string, b: string): number {
   let row = Array.from({ length: b.length + 1 }, (_, index) => index);
   for (let i = 1; i <= a.length; i += 1) {
     const next = [i];
@@ -18,8 +18,8 @@
 /** Says what was expected instead of `name`: the closest known name, or all of them. */
 export function suggestName(name: string, known: readonly string[]): string {
   const [best] = known
-    .map((candidate) => ({ candidate, distance: measureDistance(name, candidate) }))
+    .map((candidate) => ({ candidate, distance: computeEditDistance(name, candidate) }))
     .sort((a, b) => a.distance - b.distance);
-  if (best !== undefined && best.distance <= CLOSE_ENOUGH) return `"${best.candidate}"`;
+  if (best !== undefined && best.distance <= MAX_EDIT_DISTANCE) return `"${best.candidate}"`;
   return `one of ${known.join(', ')}`;
 }
--- a/test/suspension.test.ts
+++ b/test/suspension.test.ts
@@ -5,7 +5,7 @@
 
 /** A machine whose clocks are told what happens to it. */
 class Machine {
-  #steady = 5000;
+  #monotonic = 5000;
 
   #wall = 1_700_000_000_000;
 
@@ -15,14 +15,14 @@
   bootPace = 1;
 
   readonly sources = {
-    steady: () => this.#steady,
+    monotonic: () => this.#monotonic,
     wall: () => this.#wall,
     // Read in steps of ten milliseconds, as the system gives it.
     sinceBoot: () => Math.floor(this.#boot / 10) * 10,
   };
 
   run(time: number): void {
-    this.#steady += time;
+    this.#monotonic += time;
     this.#wall += time;
     this.#boot += time * this.bootPace;
   }
@@ -50,7 +50,7 @@
     let suspended = 0;
     for (let at = 0; at < time; at += 20) {
       machine.run(20);
-      suspended = meter.read(machine.sources.steady());
+      suspended = meter.read(machine.sources.monotonic());
     }
     return suspended;
   };
