--- a/src/kernel/clock.ts
+++ b/src/kernel/clock.ts
@@ -5,15 +5,16 @@
 
 /** A pending timer. */
 export interface Timer {
-  /** Cancels the timer; a timer that has fired is left alone. */
+  /** Cancels the timer; no effect when it has fired. */
   cancel(): void;
 }
 
 /** The time service. All times are in milliseconds. */
 export interface Clock {
   /**
-   * Monotonic time, from an arbitrary origin. It never goes back, and counts the time for which the machine was
-   * suspended, so that nothing that was learnt before looks fresh after it. Timers don't count that time.
+   * Monotonic time from an arbitrary origin; it never goes back. It includes the time for which the
+   * machine was suspended, so that state from before a suspension doesn't look fresh after it.
+   * Timers don't count that time.
    */
   now(): number;
   /** Wall-clock time since 1970. It may jump, and differs between VMs. */
@@ -24,7 +25,7 @@
   sleep(delay: number, signal?: AbortSignal): Promise<void>;
 }
 
-/** The name of the time service. */
+/** The key of the time service. */
 export const clockService = createServiceKey<Clock>('clock');
 
 /** Resolves after `delay` on the given scheduler, or when `signal` aborts, whichever is first. */
@@ -52,7 +53,7 @@
   sinceBoot: () => os.uptime() * 1000,
 };
 
-/** Creates the clock of the machine. */
+/** Creates the system clock of the machine. */
 export function createSystemClock(sources = SYSTEM_CLOCKS): Clock {
   const meter = new SuspensionMeter(sources);
   const schedule = (delay: number, action: () => void): Timer => {
@@ -76,7 +77,7 @@
   readonly action: () => void;
 }
 
-/** A clock that moves only when told to. Timers fire in order of their due time. */
+/** A clock that only moves when it is advanced. Timers fire in the order of their due times. */
 export class ManualClock implements Clock {
   #now = 0;
 
@@ -118,14 +119,14 @@
     return sleepOn((after, action) => this.schedule(after, action), delay, signal);
   }
 
-  /** Moves time on by `span`, firing each due timer and letting its continuations run. */
+  /** Advances time by `span`; fires each due timer and lets its continuations run. */
   async advance(span: number): Promise<void> {
     const end = this.#now + span;
     const runContinuations = () =>
       new Promise((resolve) => {
         setImmediate(resolve);
       });
-    // What is under way may be about to set a timer that falls into this span.
+    // Code that is already running may be about to set a timer within this span.
     await runContinuations();
     for (;;) {
       const [next] = this.#pending
--- a/src/kernel/http-exchange.ts
+++ b/src/kernel/http-exchange.ts
@@ -1,11 +1,11 @@
-/** One small HTTP exchange with JSON in both directions, whose every outcome is a value. */
+/** One small HTTP exchange with JSON in both directions. Every outcome is a value. */
 import http from 'node:http';
 import { promisify } from 'node:util';
 import { gunzip } from 'node:zlib';
 import { scheduleLagTolerantTimeout } from './lag-tolerant-timeout.js';
 import type { Address } from './network.js';
 
-/** What to send. */
+/** The request of an exchange. */
 export interface HttpExchangeOptions {
   readonly agent: http.Agent;
   readonly address: Address;
@@ -14,28 +14,28 @@
   readonly body?: string;
   /** Longest wait for the whole answer, in milliseconds. */
   readonly timeout: number;
-  /** Gives the exchange up when it aborts. */
+  /** Cancels the exchange when it aborts. */
   readonly signal?: AbortSignal;
 }
 
-/** A whole answer; `body` is undefined when it was empty. */
+/** A complete answer; `body` is undefined when it was empty. */
 export interface HttpReply {
   readonly kind: 'reply';
   readonly status: number;
   readonly body: unknown;
 }
 
-/** No whole answer; `sent` tells whether the other side may have received the call. */
+/** No complete answer; `sent` tells whether the other side may have received the request. */
 export interface HttpFailure {
   readonly kind: 'failure';
   readonly sent: boolean;
   readonly reason: string;
 }
 
-/** How long answers between daemons are packed. */
+/** Content encoding of answers between daemons. */
 export const PEER_CONTENT_ENCODING = 'gzip';
 
-/** Longest answer that is unpacked, in bytes: many times the list of a large fleet. */
+/** Longest answer after unpacking: many times the member list of a large fleet. */
 const MAX_UNPACKED_BYTES = 67_108_864;
 
 const gunzipAsync = promisify(gunzip);
@@ -62,7 +62,7 @@
   }
 }
 
-/** Makes the exchange. A connection whose answer did not come carries nothing further. */
+/** Makes the exchange. A connection whose answer did not arrive is not used again. */
 export function exchangeHttp(question: HttpExchangeOptions): Promise<HttpReply | HttpFailure> {
   const { agent, address, method, path, body, timeout, signal } = question;
   return new Promise((resolve, reject) => {
--- a/src/kernel/index.ts
+++ b/src/kernel/index.ts
@@ -1,4 +1,6 @@
-/** The kernel and the services that stand for the machine: time, randomness, sockets, logs, metrics. */
+/**
+ * The kernel and the services that represent the machine: time, randomness, sockets, logs, metrics.
+ */
 export * from './kernel.js';
 export * from './clock.js';
 export * from './suspension.js';
--- a/src/kernel/kernel.ts
+++ b/src/kernel/kernel.ts
@@ -1,20 +1,20 @@
 /**
- * The micro-kernel: a registry in which services find each other by name.
+ * The micro-kernel: a registry of services with typed keys.
  *
  * The kernel knows nothing about load balancing. Each feature registers the service it offers and
  * looks up the ones it needs, so a test or another program can replace any of them.
  */
 
-/** A name under which a service of type `T` is registered. */
+/** A key under which a service of type `T` is registered. */
 export interface ServiceKey<T> {
   readonly name: string;
   /** Carries the service's type; it has no value at run time. */
   readonly type?: T;
 }
 
-/** Names a service. Two names are the same service when their texts are equal. */
-export function createServiceKey<T>(text: string): ServiceKey<T> {
-  return { name: text };
+/** Creates the key of a service. Keys with equal names stand for the same service. */
+export function createServiceKey<T>(name: string): ServiceKey<T> {
+  return { name };
 }
 
 /** A broken invariant: a fault in this program, never in its input. It stops the process. */
@@ -27,25 +27,25 @@
   if (!holds) throw new InvariantError(message);
 }
 
-/** A registry of services with typed names. */
+/** A registry of services with typed keys. */
 export class Kernel {
   readonly #services = new Map<string, unknown>();
 
-  /** Registers `service` under `name`; a name can be registered once. */
-  provide<T>(name: ServiceKey<T>, service: T): this {
-    assertInvariant(!this.#services.has(name.name), `service "${name.name}" is registered twice`);
-    this.#services.set(name.name, service);
+  /** Registers `service` under `key`; each key can be registered once. */
+  provide<T>(key: ServiceKey<T>, service: T): this {
+    assertInvariant(!this.#services.has(key.name), `service "${key.name}" is registered twice`);
+    this.#services.set(key.name, service);
     return this;
   }
 
-  /** Returns the service registered under `name`; a missing one is a broken invariant. */
-  find<T>(name: ServiceKey<T>): T {
-    assertInvariant(this.#services.has(name.name), `no service is registered as "${name.name}"`);
-    return this.#services.get(name.name) as T;
+  /** Returns the service registered under `key`; a missing one is a broken invariant. */
+  find<T>(key: ServiceKey<T>): T {
+    assertInvariant(this.#services.has(key.name), `no service is registered as "${key.name}"`);
+    return this.#services.get(key.name) as T;
   }
 
-  /** Tells whether a service is registered under `name`. */
-  has<T>(name: ServiceKey<T>): boolean {
-    return this.#services.has(name.name);
+  /** Whether a service is registered under `key`. */
+  has<T>(key: ServiceKey<T>): boolean {
+    return this.#services.has(key.name);
   }
 }
--- a/src/kernel/lag-tolerant-timeout.ts
+++ b/src/kernel/lag-tolerant-timeout.ts
@@ -1,14 +1,17 @@
 /**
- * Time-outs that a late event loop does not bring about.
+ * Time-outs that tolerate a late event loop.
  *
- * A loop that is late runs its timers before it reads what has come meanwhile, so a time-out would end what was
- * answered in time: a connection that was there is given up by a loop that comes round after 300 ms
- * (`test/large-fleet.test.ts`), and opening it anew makes the loop later still. Here the action runs after one
- * more look at what has come.
+ * A late loop runs its timers before it reads the input that has arrived meanwhile, so a plain
+ * time-out would fail what was answered in time. A loop that is 300 ms late would give up a
+ * connection that was already open (`test/large-fleet.test.ts`), and reopening it makes the loop
+ * later still. Here the action runs after the loop has polled for input once more.
  */
 import type { Timer } from './clock.js';
 
-/** Calls `action` after `delay` milliseconds, unless what comes until then, or is read then, cancels it. */
+/**
+ * Calls `action` after `delay` milliseconds and one more poll for input, unless it is cancelled by
+ * then.
+ */
 export function scheduleLagTolerantTimeout(delay: number, action: () => void): Timer {
   let immediate: NodeJS.Immediate | undefined;
   const timer = setTimeout(() => {
--- a/src/kernel/log-format.ts
+++ b/src/kernel/log-format.ts
@@ -1,7 +1,7 @@
-/** What a log is, and how an event becomes a line: key=value pairs. */
+/** The logging service, and the format of its lines: key=value pairs. */
 import { createServiceKey } from './kernel.js';
 
-/** A value that can stand in a log line. */
+/** A value in a log line. */
 export type LogValue = string | number | boolean | undefined;
 
 /** The fields of one event. */
@@ -15,7 +15,7 @@
   error(event: string, fields?: LogFields): void;
 }
 
-/** The name of the logging service. */
+/** The key of the logging service. */
 export const logService = createServiceKey<Log>('log');
 
 /** The levels that can be set, from the quietest. */
@@ -31,7 +31,7 @@
   return UNQUOTED.test(text) ? text : JSON.stringify(text);
 }
 
-/** Writes an event as `key=value` pairs; undefined fields are left out. */
+/** Formats an event as `key=value` pairs; undefined fields are left out. */
 export function formatEvent(event: string, fields: LogFields): string {
   const pairs = [`event=${event}`];
   for (const [key, value] of Object.entries(fields)) {
--- a/src/kernel/log.ts
+++ b/src/kernel/log.ts
@@ -10,7 +10,7 @@
   debug: 4,
 };
 
-/** Creates a log that writes lines to standard error; `base` fields stand in each line. */
+/** Creates a log that writes lines to standard error; `base` fields are part of each line. */
 export function createLog(level: LogLevel, base: LogFields = {}): Log {
   const consola = createConsola({
     level: CONSOLA_LEVELS[level],
--- a/src/kernel/metrics.ts
+++ b/src/kernel/metrics.ts
@@ -6,7 +6,7 @@
 /** Tags of a metric, such as the service it belongs to. */
 export type Tags = Readonly<Record<string, string>>;
 
-/** The metrics service. Names and units stand in `docs/METRICS.md`. */
+/** The metrics service. `docs/METRICS.md` lists names and units. */
 export interface Metrics {
   /** Adds `amount` to a counter. */
   count(name: string, amount?: number, tags?: Tags): void;
@@ -18,7 +18,7 @@
   close(): void;
 }
 
-/** The name of the metrics service. */
+/** The key of the metrics service. */
 export const metricsService = createServiceKey<Metrics>('metrics');
 
 /** Creates metrics that are dropped. */
--- a/src/kernel/network.ts
+++ b/src/kernel/network.ts
@@ -25,7 +25,7 @@
   readonly key: string;
 }
 
-/** What a listener is told. */
+/** How to listen. */
 export interface ListenOptions {
   readonly address: Address;
   /** Serves TLS with these keys; plain TCP when absent. */
@@ -39,10 +39,10 @@
   connect(address: Address): Promise<Duplex>;
 }
 
-/** The name of the socket service. */
+/** The key of the socket service. */
 export const networkService = createServiceKey<Network>('network');
 
-/** Writes an address as `host:port`. */
+/** Formats an address as `host:port`. */
 export function formatAddress(address: Address): string {
   return `${address.host}:${address.port}`;
 }
@@ -50,7 +50,7 @@
 const ADDRESS_PATTERN = /^(\d{1,3}(?:\.\d{1,3}){3}):(\d{1,5})$/;
 const MAX_PORT = 65535;
 
-/** Reads `a.b.c.d:port`; returns undefined for anything else. */
+/** Parses `a.b.c.d:port`; returns undefined for anything else. */
 export function parseAddress(text: string): Address | undefined {
   const match = ADDRESS_PATTERN.exec(text.trim());
   if (match === null) return undefined;
@@ -152,7 +152,7 @@
   }
 }
 
-/** Creates a network inside this process: many daemons can share it without any real socket. */
+/** Creates a network within this process: many daemons can share it without real sockets. */
 export function createMemoryNetwork(): Network {
   const listeners = new Map<string, (socket: Duplex) => void>();
   return {
--- a/src/kernel/random.ts
+++ b/src/kernel/random.ts
@@ -10,15 +10,15 @@
   id(): string;
 }
 
-/** The name of the randomness service. */
+/** The key of the randomness service. */
 export const randomService = createServiceKey<Random>('random');
 
 const ID_BYTES = 12;
 
-/** Random bytes are drawn for this many identifiers at once: each draw is a system call. */
+/** Identifiers whose random bytes are drawn together, because each draw is a system call. */
 const IDS_PER_DRAW = 256;
 
-/** Creates the randomness of the machine. */
+/** Creates the system's randomness, which is not repeatable. */
 export function createSystemRandom(): Random {
   let bytes = Buffer.alloc(0);
   let used = 0;
@@ -48,7 +48,7 @@
   return { next, id: () => Array.from({ length: ID_BYTES * 2 }, digit).join('') };
 }
 
-/** Returns one of `items`, each with the same chance; undefined when there are none. */
+/** Returns one of `items`, all with equal probability; undefined when the list is empty. */
 export function pickItem<T>(items: readonly T[], random: Random): T {
   return items[Math.floor(random.next() * items.length)];
 }
--- a/src/kernel/rate-limited-log.ts
+++ b/src/kernel/rate-limited-log.ts
@@ -1,12 +1,17 @@
-/** A log of key=value lines on standard output that is bounded and never blocks the daemon. */
+/**
+ * A log of key=value lines on standard output. Its rate and buffer are limited, so it never blocks
+ * the daemon.
+ */
 import type { Clock } from './clock.js';
 import { LOG_LEVELS, type Log, type LogFields, type LogLevel, formatEvent } from './log-format.js';
 
-/** Lines a second of one event, and how many may come at once; set so that a flood costs little. */
+/**
+ * Lines a second of one event, and how many of them may come at once, so that a flood costs little.
+ */
 const LINES_PER_SECOND = 20;
 const MAX_BURST_LINES = 60;
 
-/** Bytes that may wait to be written before lines are dropped. */
+/** Bytes that may wait in the output buffer before lines are dropped. */
 const MAX_BUFFERED_BYTES = 262_144;
 
 interface EventBucket {
@@ -15,13 +20,16 @@
   dropped: number;
 }
 
-/** Where lines go, such as standard output. */
+/** Where lines are written, such as standard output. */
 export interface LogSink {
   readonly writableLength: number;
   write(text: string): boolean;
 }
 
-/** Creates the log. Each event has its own allowance; a line that follows dropped ones counts them. */
+/**
+ * Creates the log. Each event has its own rate limit. The first line after dropped ones has their
+ * number as `dropped`.
+ */
 export function createRateLimitedLog(
   clock: Clock,
   level: LogLevel,
--- a/src/kernel/request-url.ts
+++ b/src/kernel/request-url.ts
@@ -1,6 +1,9 @@
 /** The path and query of a request to one of the system's own listeners. */
 
-/** Reads them; undefined when they make no URL, which not all do that a parser of requests lets through. */
+/**
+ * Parses the path and query; undefined when they are not a valid URL, which an HTTP parser may let
+ * through.
+ */
 export function parseRequestUrl(path = '/'): URL | undefined {
   const base = 'http://listener';
   return URL.canParse(path, base) ? new URL(path, base) : undefined;
--- a/src/kernel/suspension.ts
+++ b/src/kernel/suspension.ts
@@ -1,40 +1,48 @@
 /**
- * The time for which this machine was suspended: the steady clock stands still meanwhile, and the world goes on.
+ * Measures for how long this machine was suspended: the monotonic clock stands still during that
+ * time.
  *
- * The pattern answered: a machine that is suspended for seconds holds a lease, a grant or a list that looks as fresh
- * as before. The time of day leaps against the steady clock then, and also when somebody sets it; the time since boot
- * leaps then only. Where both leapt by the same, that was a suspension.
+ * After a suspension of some seconds a lease, a grant or a list would look as fresh as before. The
+ * wall clock then jumps against the monotonic clock, but it also does when somebody sets it. The
+ * time since boot jumps only after a suspension. When both jump by the same amount, the machine was
+ * suspended.
  */
 
-/** What is read of the machine. All values are in milliseconds. */
+/** The clocks of the machine. All values are in milliseconds. */
 export interface ClockSources {
   /** Monotonic; stands still while the machine is suspended. */
   monotonic(): number;
-  /** Time of day; counts a suspension, and may be set. */
+  /** Wall clock; counts a suspension, and may be set. */
   wall(): number;
   /** Time since boot; counts a suspension, and is never set. */
   sinceBoot(): number;
 }
 
-/** A leap by less is no suspension: it is below what any lease or age here is counted in. */
+/**
+ * A smaller jump is not counted as a suspension: leases and ages here are not counted that finely.
+ */
 const MIN_JUMP_MS = 200;
 
-/** The time of day is compared this often, in milliseconds. */
+/** Interval between two comparisons of the wall clock with the monotonic clock. */
 const COMPARE_INTERVAL_MS = 5;
 
-/** The time since boot is read this often, in milliseconds, to know whether it keeps step with the steady clock. */
+/**
+ * Interval between two reads of the time since boot, which check that it advances with the
+ * monotonic clock.
+ */
 const BOOT_READ_INTERVAL_MS = 1000;
 
 /**
- * The time since boot is believed once it kept step this often in a row. Where it is another machine's, as in some
- * containers, it does not, and a suspension stays unseen rather than a wrong one believed.
+ * The time since boot is trusted after it advanced with the monotonic clock for this many reads in
+ * a row. In some containers it belongs to another machine and doesn't; a suspension is then missed
+ * rather than wrongly detected.
  */
 const MIN_STEADY_READS = 3;
 
-/** Two clocks that were read one after the other on a busy machine differ by so much, in milliseconds. */
+/** Largest difference between two clocks that are read one after the other on a busy machine. */
 const MAX_DRIFT_MS = 60;
 
-/** Counts the time for which one machine was suspended. */
+/** Counts the time for which the machine was suspended. */
 export class SuspensionMeter {
   #comparedAt: number;
 
@@ -56,7 +64,11 @@
     this.#bootOffset = sources.sinceBoot() - now;
   }
 
-  /** Reads for how long the machine was suspended since the start. @param now the steady clock's time now */
+  /**
+   * Returns for how long the machine was suspended since the start.
+   *
+   * @param now the monotonic clock's time now
+   */
   read(now: number): number {
     if (now - this.#comparedAt < COMPARE_INTERVAL_MS) return this.#suspendedMs;
     this.#comparedAt = now;
@@ -73,7 +85,7 @@
     return this.#suspendedMs;
   }
 
-  /** Reads by how much the time since boot has leapt against the steady clock since it was last read. */
+  /** Returns the jump of the time since boot against the monotonic clock since it was last read. */
   #readBootJump(now: number): number {
     this.#bootReadAt = now;
     const bootOffset = this.sources.sinceBoot() - now;
--- a/src/kernel/text-metrics.ts
+++ b/src/kernel/text-metrics.ts
@@ -1,8 +1,8 @@
 /**
- * Metrics as text for whoever asks: counters, gauges, and quantiles of histograms.
+ * Metrics as text for a reader that polls them: counters, gauges, and quantiles of histograms.
  *
- * The histograms are Node's own (HDR, native): the JavaScript library costs a starting daemon 100 ms
- * of processor and 17 MB, measured on 2026-12-02, which is a third of what the daemon needs in all.
+ * The histograms are Node's own (HDR, native). The JavaScript library takes 100 ms of processor
+ * time and 17 MB when a daemon starts, a third of what the daemon needs in all.
  */
 import { type RecordableHistogram, createHistogram } from 'node:perf_hooks';
 
@@ -11,7 +11,7 @@
 
 const QUANTILES = [50, 90, 99, 99.9] as const;
 
-/** Longest time that a histogram holds, in milliseconds. */
+/** Longest time that a histogram records; longer ones count as this. */
 const MAX_RECORDED_MS = 600_000;
 
 function formatName(name: string, labels: Labels): string {
@@ -30,7 +30,7 @@
     { name: string; labels: Labels; histogram: RecordableHistogram }
   >();
 
-  /** Adds to a counter. */
+  /** Adds `amount` to a counter. */
   count(name: string, labels: Labels = {}, amount = 1): void {
     const key = formatName(name, labels);
     this.#counters.set(key, (this.#counters.get(key) ?? 0) + amount);
@@ -48,12 +48,12 @@
     entry.histogram.record(Math.min(MAX_RECORDED_MS, Math.max(1, Math.round(time))));
   }
 
-  /** Adds gauges that are read whenever somebody asks. */
+  /** Adds gauges that are read each time the metrics are formatted. */
   addGauges(read: () => Readonly<Record<string, number>>): void {
     this.#gauges.push(read);
   }
 
-  /** Writes everything as lines of `name{labels} value`. */
+  /** Formats all metrics as lines of `name{labels} value`. */
   format(): string {
     const lines = [...this.#counters].map(([key, value]) => `${key} ${value}`);
     for (const read of this.#gauges) {
--- a/src/platform/connector.ts
+++ b/src/platform/connector.ts
@@ -1,4 +1,4 @@
-/** Lets `undici` open its connections through the network service. */
+/** Connector for `undici` that opens connections through the network service. */
 import type { buildConnector } from 'undici';
 import type { Duplex } from 'node:stream';
 import type { Socket } from 'node:net';
@@ -18,7 +18,7 @@
  * Creates a connector to one address.
  *
  * @param timeoutMs longest wait for a connection, in milliseconds
- * @param onOpened called for each connection opened, to count them
+ * @param onOpened called for each opened connection, to count them
  */
 export function createConnector(
   network: Network,
--- a/src/platform/documents.ts
+++ b/src/platform/documents.ts
@@ -1,4 +1,4 @@
-/** Decodes what the operator and the targets keep in the platform's store, once, into typed values. */
+/** Decodes the documents of operators and targets in the platform's store into typed values. */
 import { type Address, type JsonObject, isJsonObject, parseAddress } from '../kernel/index.js';
 import {
   type RequestKind,
@@ -10,31 +10,38 @@
 } from '../routing/index.js';
 import { KEYS } from './wire.js';
 
-/** One start of a target, as it describes itself. */
+/** The record that one run of a target keeps of itself. */
 export interface TargetRecord {
-  /** Names the target; a later start has another name, or the same one and another `born`. */
+  /**
+   * Identifies this run of the target. Another run has another identifier, or the same one and
+   * another `born`.
+   */
   readonly incarnation: string;
-  /** When it started, in milliseconds since 1970 by its own clock; 0 where it does not say. */
+  /** Start time in milliseconds since 1970 by the target's own clock; 0 when it is missing. */
   readonly born: number;
   readonly service: string;
   readonly address: Address;
+  /** Failure domain in which it runs. */
   readonly domain: string;
+  /** Number of calls that it runs at once. */
   readonly slots: number;
   readonly state: 'ready' | 'draining';
-  /** The version of its software; undefined where it does not say. */
+  /** Version of the target's software; undefined when it is missing. */
   readonly release?: string;
-  /** For how long the target is still slow after its start, in milliseconds. */
+  /** How long the target is still slow after its start, in milliseconds. */
   readonly coldLeft: number;
 }
 
-/** A text that could not be decoded, and why. */
+/** Why a text could not be decoded. */
 export interface DecodeFault {
   readonly kind: 'fault';
+  /** The part that is wrong, or the parser's message. */
   readonly what: string;
+  /** What was expected there. */
   readonly expected: string;
 }
 
-/** A message for one fault; thrown and caught within this file only. */
+/** A fault in the text; thrown and caught within this file only. */
 class DecodeError extends Error {
   constructor(
     readonly what: string,
@@ -83,7 +90,10 @@
   });
 }
 
-/** Reads the regions in which a route's requests may run; what can't be read costs a remark. */
+/**
+ * Reads the regions in which a route's requests may run. A wrong value adds a warning and is
+ * ignored.
+ */
 function readRegions(
   value: unknown,
   name: string,
@@ -115,7 +125,10 @@
   };
 }
 
-/** Reads a number that a service may state; what can't be read costs a remark, not the configuration. */
+/**
+ * Reads an optional number of a service. A wrong value adds a warning and doesn't reject the
+ * configuration.
+ */
 function readOptionalNumber(value: unknown, what: string, warnings: string[]): number | undefined {
   if (value === undefined) return undefined;
   if (typeof value === 'number' && Number.isFinite(value) && value >= 0) return value;
@@ -202,7 +215,7 @@
   });
 }
 
-/** Reads which failure domain a key asks to evacuate; what stands under the key says nothing more. */
+/** Decodes the failure domain to evacuate from the key; the value under the key is ignored. */
 export function decodeEvacuation(key: string): string | DecodeFault {
   const domain = key.slice(KEYS.evacuations.length);
   if (domain !== '') return domain;
@@ -213,7 +226,10 @@
   };
 }
 
-/** Decodes what a target keeps under its own key; what anybody else wrote there may be anything. */
+/**
+ * Decodes the record that a target keeps under its own key. The text may have been written by
+ * anybody.
+ */
 export function decodeTarget(incarnation: string, text: string): TargetRecord | DecodeFault {
   return decode(text, (document) => {
     const info = readObject(document.info, 'info');
--- a/src/platform/index.ts
+++ b/src/platform/index.ts
@@ -1,4 +1,7 @@
-/** The platform's key-value service and VM list: interface, client of the store, call budget. */
+/**
+ * The platform's key-value service and its list of VMs: interface, client of the store, call
+ * budget.
+ */
 export * from './platform.js';
 export * from './kv-platform.js';
 export * from './metered.js';
--- a/src/platform/kv-platform.ts
+++ b/src/platform/kv-platform.ts
@@ -1,4 +1,4 @@
-/** The product's platform on the store: the same client, seen through the product's own interface. */
+/** Adapts the client of the platform's store to the product's {@link Platform} interface. */
 import type { OutcomeUnknown, KvStore, NotApplied, StoredItem, WriteAnswer } from './kv-store.js';
 import type {
   LeaseResult,
@@ -11,7 +11,7 @@
 } from './platform.js';
 import { KEYS } from './wire.js';
 
-/** How long a watch waits while nothing changes, in milliseconds; the store takes up to 30,000. */
+/** How long a watch waits while nothing changes, in milliseconds; the store allows up to 30,000. */
 const WATCH_TIMEOUT_MS = 20_000;
 
 function makeStoredValue({ key, text, revision }: StoredItem): StoredValue {
@@ -50,7 +50,9 @@
   }
 }
 
-/** Reads all pages under a prefix; `revision` is the store's before the first of them. */
+/**
+ * Reads all pages under a prefix. `revision` is the store's revision when the first page was read.
+ */
 async function readAllPages(store: KvStore, prefix: string) {
   const items: StoredItem[] = [];
   let revision: number | undefined;
@@ -69,12 +71,12 @@
   try {
     return [JSON.parse(item.text) as Vm];
   } catch {
-    // Whoever wrote it did not write a VM; the others still count.
+    // An item that is not a VM is skipped; the others still count.
     return [];
   }
 }
 
-/** Creates the product's platform on a store. */
+/** Creates the {@link Platform} adapter of a store. */
 export function createKvPlatform(store: KvStore): Platform & { close(): void } {
   return {
     async read(key) {
--- a/src/platform/kv-store.ts
+++ b/src/platform/kv-store.ts
@@ -1,4 +1,7 @@
-/** The client of the platform's store: each method is one call, and every outcome is a value. */
+/**
+ * The client of the platform's store. Each method makes one call and returns every outcome as a
+ * value.
+ */
 import http from 'node:http';
 import {
   type Address,
@@ -13,25 +16,28 @@
 /** An item of the store. */
 export interface StoredItem {
   readonly key: string;
+  /** The value, decoded as UTF-8. */
   readonly text: string;
   /** The store's revision at the item's last change. */
   readonly revision: number;
 }
 
-/** A change that a watch tells of. */
+/** A change that a watch reports. */
 export type StoreEvent =
   | { readonly kind: 'written'; readonly item: StoredItem }
   | { readonly kind: 'removed'; readonly key: string; readonly revision: number };
 
-/** The store did not do it, for certain: it refused, or the call never left this machine. */
+/** The call was certainly not applied: the store refused it, or it never left this machine. */
 export interface NotApplied {
   readonly kind: 'not-done';
+  /** Describes the refusal or failure, for logs. */
   readonly reason: string;
 }
 
-/** Nobody knows whether the store did it, or will do it within the next seconds. */
+/** It is unknown whether the call was applied, or will be within the next seconds. */
 export interface OutcomeUnknown {
   readonly kind: 'unknown';
+  /** Describes the failure, for logs. */
   readonly reason: string;
 }
 
@@ -41,10 +47,11 @@
   readonly items: readonly StoredItem[];
   /** The revision of the store when the page was read. */
   readonly storeRevision: number;
+  /** Whether there are items after this page. */
   readonly hasMore: boolean;
 }
 
-/** What a watch gives; after `history-gone` the items must be read anew. */
+/** The outcome of a watch. After `history-gone` the items must be read again. */
 export type WatchAnswer =
   | {
       readonly kind: 'events';
@@ -55,48 +62,54 @@
   | NotApplied
   | OutcomeUnknown;
 
-/** What reading one key gives. */
+/** The outcome of reading one key. */
 export type ItemAnswer =
   | { readonly kind: 'item'; readonly item: StoredItem; readonly storeRevision: number }
   | { readonly kind: 'absent' }
   | NotApplied
   | OutcomeUnknown;
 
-/** What a conditional write gives. */
+/** The outcome of a conditional write or removal. */
 export type WriteAnswer =
   | { readonly kind: 'done'; readonly revision: number }
-  /** `current` is what stands there instead; undefined when nothing does. */
+  /** `current` is the stored item; undefined when the key does not exist. */
   | { readonly kind: 'condition-failed'; readonly current: StoredItem | undefined }
   | NotApplied
   | OutcomeUnknown;
 
-/** A write of one key that takes effect only while the key is at `expected`; 0 expects no key. */
+/**
+ * A write of one key that takes effect only while the key is at revision `expected`; 0 means that
+ * it must not exist.
+ */
 export interface ConditionalWrite {
   readonly key: string;
   readonly text: string;
   readonly expected: number;
-  /** The key goes when this lease ends. */
+  /** The store removes the key when this lease ends. */
   readonly lease?: string;
 }
 
-/** A removal of one key that takes effect only while the key is at `expected`. */
+/** A removal of one key that takes effect only while the key is at revision `expected`. */
 export interface ConditionalRemoval {
   readonly key: string;
   readonly expected: number;
 }
 
-/** What asking for a lease, or renewing one, gives; `ttl` is in milliseconds. */
+/** The outcome of granting or renewing a lease; `ttl` is in milliseconds. */
 export type LeaseAnswer =
   | { readonly kind: 'held'; readonly lease: string; readonly ttl: number }
   | { readonly kind: 'lapsed' }
   | NotApplied
   | OutcomeUnknown;
 
-/** The part of the store that tells what it holds. */
+/** The read access to the store. */
 export interface KvReader {
-  /** Reads one key; a `stale` read is cheap and may be seconds old. */
+  /** Reads one key. A read with `allowStale` is cheap and may be seconds old. */
   readItem(key: string, allowStale: boolean): Promise<ItemAnswer>;
-  /** Reads one page of keys with a prefix; pages together are no snapshot. */
+  /**
+   * Reads one page of the items whose keys start with `prefix` and come after `after`. Several pages
+   * together are not a consistent snapshot.
+   */
   readItems(
     prefix: string,
     after: string,
@@ -106,19 +119,20 @@
   watch(prefix: string, after: number, wait: number, signal?: AbortSignal): Promise<WatchAnswer>;
 }
 
-/** The store, as the product uses it. Each method is one call; none retries. */
+/** The client of the store. Each method makes one call; none retries. */
 export interface KvStore extends KvReader {
   write(write: ConditionalWrite): Promise<WriteAnswer>;
   remove(removal: ConditionalRemoval): Promise<WriteAnswer>;
-  /** Asks for a lease that ends `ttl` milliseconds after the call has arrived. */
+  /** Requests a lease that ends `ttl` milliseconds after the call has arrived. */
   grantLease(ttl: number): Promise<LeaseAnswer>;
   renewLease(lease: string): Promise<LeaseAnswer>;
-  /** Calls made since the start, by kind. */
+  /** Returns the number of calls since the start, by kind. */
   counts(): Readonly<Record<string, number>>;
+  /** Closes the connections to the store. */
   close(): void;
 }
 
-/** The name of the store service. */
+/** The key of the store service. */
 export const kvStoreService = createServiceKey<KvStore>('kv-store');
 
 const OK = 200;
@@ -126,14 +140,19 @@
 const HISTORY_GONE = 410;
 const CONDITION_FAILED = 412;
 
-/** Statuses by which the store says that it did nothing; 404 of a write names a lease that is over. */
+/**
+ * Statuses that mean that the call was not applied; 404 on a write means that its lease has ended.
+ */
 const REFUSED_STATUSES = new Set([400, 403, 404, 413, 429, 503]);
 
 function readFields(value: unknown): JsonObject {
   return isJsonObject(value) ? value : {};
 }
 
-/** Decodes an item; undefined when it names no key or revision. Bytes that are no text give one that fits nothing. */
+/**
+ * Decodes an item; undefined when its key or revision is missing. A value that is not text decodes
+ * to a text that no document accepts.
+ */
 function decodeItem(value: unknown): StoredItem | undefined {
   if (!isJsonObject(value)) return undefined;
   const { key_file: key, value: bytes, revision } = value;
@@ -151,7 +170,7 @@
     : { kind: 'written', item };
 }
 
-/** Decodes a list, leaving out what is none of its items; undefined when it is no list. */
+/** Decodes a list and leaves out invalid entries; undefined when the value is not a list. */
 function decodeList<T>(
   value: unknown,
   decodeEntry: (entry: unknown) => T | undefined,
@@ -201,8 +220,8 @@
 /**
  * Creates the client.
  *
- * @param timeout longest wait for an answer in milliseconds, a watch's wait apart
- * @param maxSockets connections at most; each watch that waits takes one
+ * @param timeout longest wait for an answer, in milliseconds; the wait of a watch is added to it
+ * @param maxSockets maximum number of connections; each waiting watch occupies one
  */
 export function createKvStore(
   address: Address,
@@ -282,5 +301,5 @@
   };
 }
 
-/** What a gateway needs: one connection for each prefix that is watched, and some to spare. */
+/** Enough for a gateway: one connection for each watched prefix, and some for other calls. */
 const DEFAULT_MAX_SOCKETS = 4;
--- a/src/platform/metered.ts
+++ b/src/platform/metered.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '../kernel/index.js';
 import type { Platform, Unavailable, WriteResult } from './platform.js';
 
-/** The kinds of call that are counted. */
+/** The kinds of calls that are counted. */
 export type CallKind = keyof Platform;
 
 /** Calls made and calls held back since the start. */
@@ -11,8 +11,9 @@
   readonly heldBack: number;
 }
 
-/** A platform whose calls are counted and limited. */
+/** A platform whose calls are counted and rate-limited. */
 export interface MeteredPlatform extends Platform {
+  /** Returns the calls made and held back so far. */
   counts(): PlatformCounts;
 }
 
@@ -31,7 +32,7 @@
     this.#refilledAt = clock.now();
   }
 
-  /** Takes one token, or another number of them, if that many are there. */
+  /** Takes `tokens` tokens if that many are available; returns whether it did. */
   take(tokens = 1): boolean {
     const now = this.clock.now();
     this.#tokens = Math.min(
@@ -48,7 +49,10 @@
 const HELD_BACK: Unavailable = { kind: 'unavailable', reason: 'call budget of this daemon spent' };
 const REFUSED: WriteResult = { kind: 'refused', reason: HELD_BACK.reason };
 
-/** Wraps a platform so that at most `callsPerSecond` reach it; more fail at once, unsent. */
+/**
+ * Wraps a platform so that at most `callsPerSecond` calls reach it. Calls beyond that fail at once,
+ * unsent.
+ */
 export function createMeteredPlatform(
   inner: Platform,
   callsPerSecond: number,
--- a/src/platform/platform.ts
+++ b/src/platform/platform.ts
@@ -1,12 +1,12 @@
 /**
  * The platform's key-value service and its list of VMs, behind one narrow typed interface.
  *
- * Every outcome is a value. A write has four: it took effect, it met another version, it was
- * certainly not applied, or nobody knows. Callers of a write must decide what each means to them.
+ * Every outcome is a value. A write has four outcomes: it took effect, it met another version, it
+ * was certainly not applied, or its effect is unknown. Each caller has to handle all four.
  */
 import { type Address, createServiceKey } from '../kernel/index.js';
 
-/** A stored value with the version that its last write gave it. Versions grow over the whole store. */
+/** A stored value with the version of its last write. Versions increase across the whole store. */
 export interface StoredValue {
   readonly key: string;
   readonly value: string;
@@ -19,38 +19,38 @@
   readonly reason: string;
 }
 
-/** What reading one key gives. */
+/** The outcome of reading one key. */
 export type ReadResult =
   | { readonly kind: 'found'; readonly item: StoredValue }
   | { readonly kind: 'absent' }
   | Unavailable;
 
-/** What reading a range of keys gives; `version` is the store's version at that moment. */
+/** The outcome of reading a range of keys; `version` is the store's version at that moment. */
 export type RangeResult =
   | { readonly kind: 'items'; readonly items: readonly StoredValue[]; readonly version: number }
   | Unavailable;
 
-/** What a compare-and-swap gives. */
+/** The outcome of a compare-and-swap or a removal. */
 export type WriteResult =
   | { readonly kind: 'written'; readonly version: number }
   | { readonly kind: 'conflict'; readonly current: StoredValue | undefined }
   | { readonly kind: 'refused'; readonly reason: string }
   | { readonly kind: 'unknown'; readonly reason: string };
 
-/** What asking for or renewing a lease gives; a lapsed lease cannot be renewed. */
+/** The outcome of granting or renewing a lease; a lapsed lease cannot be renewed. */
 export type LeaseResult =
   | { readonly kind: 'held'; readonly lease: string; readonly ttl: number }
   | { readonly kind: 'lapsed' }
   | Unavailable;
 
-/** What one wait on a prefix gives; after `gap` the reader must read the range again. */
+/** The outcome of one watch of a prefix; after `gap` the range must be read again. */
 export type WatchResult =
   | { readonly kind: 'changed'; readonly version: number }
   | { readonly kind: 'quiet' }
   | { readonly kind: 'gap' }
   | Unavailable;
 
-/** A VM as the platform lists it. The list lags behind the truth. */
+/** A VM as the platform lists it. The list may be out of date. */
 export interface Vm {
   readonly address: Address;
   /** What runs there: `entry`, or the role that a pool names. */
@@ -59,15 +59,18 @@
   readonly state: 'live' | 'leaving';
 }
 
-/** What asking for the list of VMs gives. */
+/** The outcome of reading the list of VMs. */
 export type VmsResult = { readonly kind: 'vms'; readonly vms: readonly Vm[] } | Unavailable;
 
-/** A compare-and-swap: `value` replaces the item of version `expect`; 0 expects no item. */
+/**
+ * A compare-and-swap: `value` replaces the item of version `expect`; 0 means that there must be no
+ * item.
+ */
 export interface CompareAndSwap {
   readonly key: string;
   readonly value: string;
   readonly expect: number;
-  /** The item is removed when this lease lapses. */
+  /** The store removes the item when this lease lapses. */
   readonly lease?: string;
 }
 
@@ -77,7 +80,7 @@
   readonly expect: number;
 }
 
-/** The platform service. Each method is one call to it; none retries. */
+/** The platform service. Each method makes one call to it; none retries. */
 export interface Platform {
   read(key: string): Promise<ReadResult>;
   range(prefix: string): Promise<RangeResult>;
@@ -85,12 +88,15 @@
   remove(removal: Removal): Promise<WriteResult>;
   grantLease(ttl: number): Promise<LeaseResult>;
   renewLease(lease: string): Promise<LeaseResult>;
-  /** Waits until a key of `prefix` changes after store version `after`, or until a quiet time. */
+  /**
+   * Waits until a key of `prefix` changes after store version `after`; ends without a change after
+   * a time-out.
+   */
   watch(prefix: string, after: number, signal: AbortSignal): Promise<WatchResult>;
   vms(): Promise<VmsResult>;
 }
 
-/** The name of the platform service. */
+/** The key of the platform service. */
 export const platformService = createServiceKey<Platform>('platform');
 
 /** The longest value that the platform stores, in bytes. */
--- a/src/platform/self-report.ts
+++ b/src/platform/self-report.ts
@@ -1,47 +1,53 @@
-/** What a target says of itself in the head of an answer: decoded once, and alike for every kind of answer. */
+/**
+ * A target's report of itself in the headers of an answer, decoded the same way for every kind of
+ * answer.
+ */
 import type { IncomingHttpHeaders } from 'node:http';
 import { HEADERS, MISDIRECTED_STATUS } from './wire.js';
 
-/** What a target says of its load. */
+/** The load that a target reports. */
 export interface LoadReport {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
-  /** How long work takes there now, as a multiple of the usual; 1 where it is not told. */
+  /** Current duration of work there, as a multiple of the usual; 1 when it is not reported. */
   readonly slowdown: number;
 }
 
-/** What a target's answer says of the rate that it takes. */
+/** The rate that a target accepts, as its answer states it. */
 export type ReportedRate =
   | { readonly kind: 'silent' }
-  /** `rate` is in requests a second, of all daemons together. */
+  /** `rate` is in requests a second, for all daemons together. */
   | { readonly kind: 'named'; readonly rate: number }
   | { readonly kind: 'unreadable'; readonly text: string };
 
-/** Whether a target's answer says that it is draining, which it never takes back. */
+/** Whether a target reports that it is draining. A target never withdraws this. */
 export type ReportedDraining =
   { readonly kind: 'silent' | 'draining' } | { readonly kind: 'unreadable'; readonly text: string };
 
-/** For how long a target that rejects a request wants no more from this daemon. */
+/** For how long a target that rejects a request wants no more requests from this daemon. */
 export type ReportedBackoff =
   | { readonly kind: 'silent' }
-  /** `time` is in milliseconds from the answer on. */
+  /** `time` is in milliseconds, from the answer on. */
   | { readonly kind: 'asked'; readonly time: number }
   | { readonly kind: 'unreadable'; readonly text: string };
 
-/** All that the head of one answer says of the target that made it. */
+/** Everything that the headers of one answer say about its target. */
 export interface SelfReport {
   readonly load: LoadReport | undefined;
-  /** For how long it is still cold, in milliseconds; undefined when it does not say. */
+  /** How long the target is still cold, in milliseconds; undefined when it is not reported. */
   readonly coldLeft: number | undefined;
   readonly rate: ReportedRate;
   readonly draining: ReportedDraining;
   readonly backoff: ReportedBackoff;
-  /** The incarnation that names itself; undefined when none does. */
+  /** The incarnation that sent the answer; undefined when it is not reported. */
   readonly incarnation: string | undefined;
   /** Whether the target did not run the request. */
   readonly isRejected: boolean;
-  /** Whether another incarnation than the expected one answered; what else it says is not about that one. */
+  /**
+   * Whether another incarnation than the expected one answered. The rest of the report is then not
+   * about the expected one.
+   */
   readonly isMisdirected: boolean;
   /** Whether the target signed its answer. */
   readonly isSigned: boolean;
@@ -56,10 +62,10 @@
 /** A plain decimal number: no sign, no exponent, no other base. */
 const DECIMAL = /^(\d+\.?\d*|\.\d+)$/;
 
-/** Digits beyond these say nothing of a rate or a time. */
+/** Longest text that is accepted as a rate or a time; further digits carry no information. */
 const MAX_NUMBER_LENGTH = 20;
 
-/** Reads a header; one that Node keeps as a list counts by its first value. */
+/** Reads a header; only the first value when Node keeps it as a list. */
 export function readHeader(headers: IncomingHttpHeaders, name: string): string | undefined {
   const value = headers[name.toLowerCase()];
   return Array.isArray(value) ? value[0] : value;
@@ -73,7 +79,7 @@
   return { kind: 'unreadable', text: text.slice(0, MAX_NUMBER_LENGTH) };
 }
 
-/** Reads the load header: running, waiting, slots, and the slowdown in hundredths. */
+/** Parses the load header: running, waiting, slots, and the slowdown in hundredths. */
 export function parseLoad(text: string | undefined): LoadReport | undefined {
   if (text === undefined) return undefined;
   const [running, waiting, slots, percent = NORMAL_PERCENT] = text.split(',').map(Number);
@@ -83,25 +89,33 @@
   return { running, waiting, slots, slowdown: percent / NORMAL_PERCENT };
 }
 
-/** Reads for how long a target says that it is still cold, in milliseconds; undefined when it says nothing. */
+/**
+ * Parses how long a target is still cold, in milliseconds; undefined when it is missing or invalid.
+ */
 export function parseColdLeft(text: string | undefined): number | undefined {
   const left = text === undefined || text === '' ? NaN : Number(text);
   return left >= 0 && Number.isFinite(left) ? left : undefined;
 }
 
-/** Reads the rate that a target names; one that is named twice comes as two numbers and is unreadable. */
+/**
+ * Parses the rate that a target accepts. A header sent twice arrives as two numbers and is
+ * unreadable.
+ */
 export function parseRate(text: string | undefined): ReportedRate {
   if (text === undefined) return { kind: 'silent' };
   return isDecimal(text) ? { kind: 'named', rate: Number(text) } : makeUnreadable(text);
 }
 
-/** Reads whether a target says that it is draining. */
+/** Parses whether a target is draining. */
 export function parseDraining(text: string | undefined): ReportedDraining {
   if (text === undefined) return { kind: 'silent' };
   return text === '1' ? { kind: 'draining' } : makeUnreadable(text);
 }
 
-/** Reads for how many seconds a target asks to be left alone; a date names no time that two clocks agree on. */
+/**
+ * Parses the back-off that a target asks for, in seconds. A date is unreadable, because the clocks
+ * of two machines differ.
+ */
 export function parseBackoff(text: string | undefined): ReportedBackoff {
   if (text === undefined) return { kind: 'silent' };
   return isDecimal(text)
@@ -109,7 +123,7 @@
     : makeUnreadable(text);
 }
 
-/** Decodes what the head of an answer says of its target. */
+/** Decodes what the headers of an answer say about its target. */
 export function decodeSelfReport(
   status: number | undefined,
   headers: IncomingHttpHeaders,
--- a/src/platform/wire.ts
+++ b/src/platform/wire.ts
@@ -1,68 +1,79 @@
 /**
- * The names that the users' platform gives to headers, keys and paths.
+ * Names of headers, store keys and paths on the users' platform.
  *
- * Nothing outside this folder spells them. Where a name misleads, the constant says what it holds.
+ * Only this folder spells them out. Where a name misleads, the constant is named after what it
+ * holds.
  */
 
 /** Headers of requests and answers, spelt as the platform spells them. */
 export const HEADERS = {
-  /** One try of a client: a client that tries again sends another one. */
+  /** Identifies one attempt of a client; a retry by the client has another value. */
   requestId: 'Attempt-Id',
   /** Milliseconds left, not a point in time. */
   timeLeft: 'Request-Deadline-Ms',
-  /** Shows that an answer is a target's own. */
+  /** Proves that an answer comes from the target itself. */
   signature: 'Server-Signature',
-  /** The incarnation that must serve the request; any other one answers {@link MISDIRECTED_STATUS}. */
+  /**
+   * The incarnation that must serve the request; any other one answers {@link MISDIRECTED_STATUS}.
+   */
   expectedIncarnation: 'Expect-Instance',
   incarnation: 'Instance-Id',
   /** In a target's health answer: milliseconds for which it is still cold. */
   coldLeft: 'Warmup-Ms',
   load: 'Server-Load',
-  /** In a target's answer: the requests a second that it takes from all daemons together. */
+  /** In a target's answer: the requests a second that it accepts from all daemons together. */
   rate: 'Server-Limit',
-  /** In a target's answer: `1` when it takes no new requests any more. */
+  /** In a target's answer: `1` when it accepts no new requests any more. */
   draining: 'Server-Leaving',
-  /** In a target's rejection: the seconds for which it wants nothing from the daemon that it answers. */
+  /**
+   * In a target's rejection: the seconds for which it wants no requests from the daemon that it
+   * answers.
+   */
   retryAfter: 'Retry-After',
   /** Present only when the target did not run the request. */
   notRun: 'Not-Executed',
 } as const;
 
-/** The status by which another incarnation says that it did not run the request. */
+/** The status with which another incarnation answers that it did not run the request. */
 export const MISDIRECTED_STATUS = 421;
 
 /** Keys in the store. */
 export const KEYS = {
   /** The prefix of all keys. */
   all: '',
-  /** All that the operators keep there. */
+  /** The prefix of everything that operators write. */
   operators: 'op/',
   configuration: 'op/config',
-  /** One for each failure domain whose targets are to get nothing; it ends with the domain's name. */
+  /**
+   * One key for each failure domain whose targets get no requests; it ends with the domain's name.
+   */
   evacuations: 'op/evacuate/',
   targets: 'servers/',
-  /** Ours: the VMs that run the system, for one that starts and reaches no seed. */
+  /** Written by this system: the VMs that run it, for a daemon that starts and reaches no seed. */
   members: 'orchidbeam/members',
-  /** Ours: what daemons have learnt of services and routes. */
+  /** Written by this system: the learned state of services and routes. */
   learnedState: 'orchidbeam/lessons',
-  /** The list of VMs where no users' platform keeps one: one item for each, written by whoever runs them. */
+  /**
+   * The list of VMs where the platform keeps none: one item for each VM, written by whoever runs
+   * them.
+   */
   vms: 'vms/',
 } as const;
 
-/** Paths that callers of the system's own interfaces use. */
+/** Paths of the system's own HTTP interfaces. */
 export const PATHS = {
   ready: '/ready',
   resolve: '/resolve',
 } as const;
 
-/** The question of a client that wants to know which addresses to use. */
+/** A client's lookup of the addresses that it should use. */
 export interface ResolveQuery {
   readonly host: string;
   readonly region: string;
   readonly domain: string;
 }
 
-/** Reads the query of a resolve call. */
+/** Parses the query of a lookup. */
 export function parseResolveQuery(query: URLSearchParams): ResolveQuery {
   return {
     host: query.get('name') ?? '',
@@ -71,7 +82,7 @@
   };
 }
 
-/** Writes the answer to a resolve call; `ttl` is in milliseconds. */
+/** Encodes the answer to a lookup; `ttl` is in milliseconds. */
 export function encodeResolveResponse(addresses: readonly string[], ttl: number): string {
   return JSON.stringify({ addresses, ttl_s: ttl / 1000 });
 }
--- a/src/settings/entry.ts
+++ b/src/settings/entry.ts
@@ -1,4 +1,7 @@
-/** The settings of an entry daemon: where it listens, its failure domain, whom it talks to. */
+/**
+ * The settings of an entry daemon: its listeners, its failure domain, its connections to other
+ * services.
+ */
 import { type Either, Left, Right } from 'purify-ts';
 import { LOG_LEVELS } from '../kernel/index.js';
 import { type SectionValues, checkSettingsFile } from './file.js';
@@ -115,7 +118,7 @@
   return mistakes;
 }
 
-/** Checks the text of a settings file; all mistakes of the file come together. */
+/** Checks the text of a settings file and reports all mistakes at once. */
 export function checkEntrySettings(
   file: string,
   text: string,
--- a/src/settings/file.ts
+++ b/src/settings/file.ts
@@ -12,7 +12,9 @@
   readonly [N in keyof S]: FieldValues<S[N]>;
 };
 
-/** Checks the text of a file; all its mistakes come together. A section that is absent has its defaults. */
+/**
+ * Checks the text of a file and reports all mistakes at once. A missing section gets its defaults.
+ */
 export function checkSettingsFile<S extends Sections>(
   file: string,
   text: string,
--- a/src/settings/index.ts
+++ b/src/settings/index.ts
@@ -1,4 +1,4 @@
-/** Settings and configuration texts in INI, checked with file and line. */
+/** Settings and configuration texts in INI; mistakes are reported with file and line. */
 export * from './ini.js';
 export * from './suggest.js';
 export * from './schema.js';
--- a/src/settings/ini.ts
+++ b/src/settings/ini.ts
@@ -1,12 +1,13 @@
 /**
- * INI texts with places.
+ * Parsing of INI texts with line numbers.
  *
- * The `ini` library reads the values but keeps no line numbers and drops what it cannot read, so a
- * scan of the lines finds where each key stands and reports the lines that the library would lose.
+ * The `ini` library reads the values, but keeps no line numbers and drops lines that it cannot
+ * read. A scan of the lines finds the line of each key and reports the lines that the library would
+ * drop.
  */
 import { parse } from 'ini';
 
-/** A mistake in a text: what is wrong, where, and what was expected. */
+/** A mistake in a text: where it is, what is wrong, and what was expected. */
 export interface Mistake {
   readonly file: string;
   /** Line number from 1; 0 when the mistake belongs to no line. */
@@ -29,7 +30,7 @@
   readonly entries: readonly IniEntry[];
 }
 
-/** A read text: its sections, and the lines that are no INI. */
+/** A parsed text: its sections, and the mistakes of lines that are not INI. */
 export interface IniText {
   readonly file: string;
   readonly sections: readonly IniSection[];
@@ -40,7 +41,7 @@
 const SECTION_LINE = /^\s*\[([^\]]+)\]\s*$/;
 const ENTRY_LINE = /^\s*([^=[\]\s][^=]*?)\s*=(.*)$/;
 
-/** Writes a mistake as `file:line: what; expected …`. */
+/** Formats a mistake as `file:line: what; expected …`. */
 export function formatMistake({ file, line, what, expected }: Mistake): string {
   const place = line > 0 ? `${file}:${line}` : file;
   return `${place}: ${what}; expected ${expected}`;
@@ -48,7 +49,10 @@
 
 const QUOTED_VALUE = /^\s*(["']).*\1\s*$/;
 
-/** Comments stand on lines of their own, so the library must not end a value at a `;` or `#`. */
+/**
+ * Escapes `;` and `#` in an unquoted value: comments have lines of their own, and the library would
+ * end the value there.
+ */
 function readValue(text: string): string {
   const escaped = QUOTED_VALUE.test(text) ? text : text.replace(/[;#]/g, '\\$&');
   const parsed = parse(`value =${escaped}`) as Readonly<Record<string, unknown>>;
@@ -62,7 +66,7 @@
   readonly entries: IniEntry[];
 }
 
-/** Reads an INI text; every line that cannot be read becomes a mistake. */
+/** Parses an INI text; every line that cannot be read becomes a mistake. */
 export function readIni(file: string, text: string): IniText {
   const sections: OpenSection[] = [];
   const mistakes: Mistake[] = [];
--- a/src/settings/schema.ts
+++ b/src/settings/schema.ts
@@ -1,24 +1,24 @@
-/** Typed descriptions of INI sections, and the check that reports every mistake at once. */
+/** Typed descriptions of INI sections, and a check that reports all mistakes at once. */
 import { Either, Left, Right } from 'purify-ts';
 import { type Address, formatAddress, parseAddress } from '../kernel/index.js';
 import type { IniSection, Mistake } from './ini.js';
 import { suggestName } from './suggest.js';
 
-/** One key: how its text becomes a value, and what stands when it is absent. */
+/** One key: how its text is parsed, and its value when the key is absent. */
 export interface Field<T> {
   readonly doc: string;
   /** What is expected, for messages and for the reference. */
   readonly expected: string;
   /** The value of an absent key; a field without one is required. */
   readonly fallback: T | undefined;
-  /** Reads the text; undefined when it does not fit. */
+  /** Parses the text; undefined when it is not valid. */
   readonly read: (text: string) => T | undefined;
 }
 
 /** The keys of one section. */
 export type Fields = Readonly<Record<string, Field<unknown>>>;
 
-/** The values that a section of `F` holds once it is checked. */
+/** The checked values of a section with the fields `F`. */
 export type FieldValues<F extends Fields> = {
   readonly [K in keyof F]: F[K] extends Field<infer T> ? T : never;
 };
@@ -28,7 +28,7 @@
   return { doc, expected: 'a text', fallback, read: (text) => (text === '' ? undefined : text) };
 }
 
-/** Describes a key that may be left empty or out. */
+/** Describes a key that may be empty or absent. */
 export function describeOptionalText(doc: string): Field<string> {
   return { doc, expected: 'a text or nothing', fallback: '', read: (text) => text };
 }
@@ -126,7 +126,7 @@
     });
 }
 
-/** Checks one section against its fields; all its mistakes come together. */
+/** Checks one section against its fields and reports all mistakes at once. */
 export function checkSection<F extends Fields>(
   file: string,
   section: IniSection,
@@ -160,7 +160,7 @@
   return value === '' ? 'empty' : String(value);
 }
 
-/** Writes the reference of a section as lines of Markdown, in the order of its fields. */
+/** Formats the reference of a section as Markdown, in the order of its fields. */
 export function formatReference(section: string, fields: Fields): string {
   const rows = Object.entries(fields).map(([key, { doc, expected, fallback }]) => {
     const absent = fallback === undefined ? 'required' : formatFallback(fallback);
--- a/src/settings/suggest.ts
+++ b/src/settings/suggest.ts
@@ -15,7 +15,7 @@
   return row[b.length] ?? 0;
 }
 
-/** Says what was expected instead of `name`: the closest known name, or all of them. */
+/** Returns what was expected in place of `name`: the closest known name, or all of them. */
 export function suggestName(name: string, known: readonly string[]): string {
   const [best] = known
     .map((candidate) => ({ candidate, distance: computeEditDistance(name, candidate) }))
