--- a/src/platform/metered.ts
+++ b/src/platform/metered.ts
@@ -46,7 +46,10 @@
   }
 }
 
-const HELD_BACK: Unavailable = { kind: 'unavailable', reason: 'call budget of this daemon spent' };
+const HELD_BACK: Unavailable = {
+  kind: 'unavailable',
+  reason: 'call budget of this daemon exhausted',
+};
 const REFUSED: WriteResult = { kind: 'refused', reason: HELD_BACK.reason };
 
 /**
--- a/src/settings/ini.ts
+++ b/src/settings/ini.ts
@@ -82,7 +82,7 @@
       if (earlier !== undefined) {
         report(
           line,
-          `section [${header}] stands twice`,
+          `section [${header}] appears twice`,
           `one [${header}], as on line ${earlier.line}`,
         );
       }
@@ -97,11 +97,11 @@
     const [, key = '', rest = ''] = match;
     const section = sections.at(-1);
     if (section === undefined) {
-      report(line, `key "${key}" stands before any section`, 'a [section] line first');
+      report(line, `key "${key}" appears before any section`, 'a [section] line first');
       continue;
     }
     if (section.entries.some((entry) => entry.key === key)) {
-      report(line, `key "${key}" stands twice in [${section.name}]`, 'each key once');
+      report(line, `key "${key}" appears twice in [${section.name}]`, 'each key once');
       continue;
     }
     section.entries.push({ key, value: readValue(rest), line });
--- a/test/documents.test.ts
+++ b/test/documents.test.ts
@@ -66,7 +66,7 @@
     {
       what: 'a key twice',
       change: (s: string) => s.replace('name = e1', 'name = e1\nname = e2'),
-      expected: /f:3: key "name" stands twice/,
+      expected: /f:3: key "name" appears twice/,
     },
     {
       what: 'a wrong address',
@@ -106,7 +106,7 @@
     {
       what: 'a section twice',
       change: (s: string) => `${s}[entry]\n`,
-      expected: /section \[entry\] stands twice/,
+      expected: /section \[entry\] appears twice/,
     },
   ];
   for (const { what, change, expected } of ROWS) {
--- a/test/gateway-settings.test.ts
+++ b/test/gateway-settings.test.ts
@@ -3,7 +3,7 @@
 import { checkGatewaySettings } from '../src/gateway/index.js';
 import { formatMistake } from '../src/settings/index.js';
 
-/** What the platform puts into the gaps of the template. */
+/** The values that the platform fills into the template. */
 const FIELDS: Readonly<Record<string, string>> = {
   node: 'front-bp-angyal-1',
   ip: '10.1.0.35',
@@ -50,7 +50,7 @@
 }
 
 describe('the settings of a gateway', () => {
-  it("are what the platform's template makes of its fields", () => {
+  it("are parsed from the platform's template with its fields filled in", () => {
     const settings = checkGatewaySettings('gateway.ini', writeSettings(FIELDS)).unsafeCoerce();
     expect(settings.gateway.callers).to.deep.equal({ host: '10.1.0.35', port: 8144 });
     expect(settings.gateway.peer_ports).to.deep.equal([7660, 7675]);
@@ -66,24 +66,24 @@
     expect(settings.machine.cpu_share).to.equal(0.54);
     expect(settings.tuning.probe_interval).to.equal(100);
   });
-  it('tell when the whole system starts for the first time', () => {
+  it('say whether the whole system starts for the first time', () => {
     const text = writeSettings({ ...FIELDS, bootstrap: 'true' });
     const settings = checkGatewaySettings('gateway.ini', text).unsafeCoerce();
     expect(settings.gateway.first_start).to.equal('true');
   });
-  it('may lack what says how much cold targets bear', () => {
+  it('default to no overshoot and no slack for cold targets', () => {
     const { 'bounds.warmup_overshoot': overshoot, 'bounds.warmup_slack': slack, ...rest } = FIELDS;
     expect([overshoot, slack]).to.deep.equal(['1.5', '8']);
     const settings = checkGatewaySettings('gateway.ini', writeSettings(rest)).unsafeCoerce();
     expect(settings.promises).to.include({ cold_overshoot: 1, cold_slack: 0 });
   });
-  it('may lack within which time a change is to be in force', () => {
+  it('default to two seconds for a configuration or a drain to be in force', () => {
     const { 'bounds.config_apply_ms': apply, 'bounds.drain_ms': drain, ...rest } = FIELDS;
     expect([apply, drain]).to.deep.equal(['2500', '3000']);
     const settings = checkGatewaySettings('gateway.ini', writeSettings(rest)).unsafeCoerce();
     expect(settings.promises).to.include({ config_apply: 2000, drain: 2000 });
   });
-  it('may lack seeds', () => {
+  it('may have no seeds', () => {
     const text = writeSettings({ ...FIELDS, seeds: '' });
     const settings = checkGatewaySettings('gateway.ini', text).unsafeCoerce();
     expect(settings.gateway.seeds).to.deep.equal([]);
@@ -104,7 +104,7 @@
       'unknown section [machines]; expected "machine"',
     ],
   ] as const) {
-    it(`says where ${what} is wrong, and what was expected`, () => {
+    it(`report where ${what} is wrong, and what was expected`, () => {
       const text = writeSettings(FIELDS).replace(from, to);
       const mistakes = checkGatewaySettings('gateway.ini', text).swap().unsafeCoerce();
       expect(mistakes.map(formatMistake).join('\n')).to.include(message);
--- a/test/kv-store.test.ts
+++ b/test/kv-store.test.ts
@@ -33,7 +33,7 @@
         storeRevision: 122,
       });
     });
-    it('says that a key is absent, a condition failed, or history is gone', async () => {
+    it('reports that a key is absent, a condition failed, or history is gone', async () => {
       expect(await store.readItem('x', false)).to.deep.equal({ kind: 'absent' });
       expect(await store.write({ key: 'x', text: '1', expected: 0 })).to.have.property(
         'kind',
@@ -68,7 +68,7 @@
         expect(await store.readItem('k', false)).to.have.property('kind', 'item');
       });
     }
-    it('a write that was not answered may be done seconds later, if its condition still holds', async () => {
+    it('an unanswered write may be applied seconds later, if its condition still holds', async () => {
       standin.fault = { kind: 'lose-write-replies', after: 300 };
       const late = store.write({ key: 'a', text: 'late', expected: 0 });
       const overtaken = store.write({ key: 'b', text: 'late', expected: 0 });
@@ -83,20 +83,20 @@
       expect(await store.readItem('a', false)).to.have.nested.property('item.text', 'late');
       expect(await store.readItem('b', false)).to.have.nested.property('item.text', 'other');
     });
-    it('a read that may be stale is, while a linearizable one is not', async () => {
+    it('a stale read may return an old value, a linearizable one does not', async () => {
       standin.put('k', 'old');
       standin.fault = { kind: 'stale' };
       standin.put('k', 'new');
       expect(await store.readItem('k', true)).to.have.nested.property('item.text', 'old');
       expect(await store.readItem('k', false)).to.have.nested.property('item.text', 'new');
     });
-    it('keys of the operators and the targets are not ours to write', async () => {
+    it('writes to keys of operators and targets are refused', async () => {
       for (const key of ['op/config', 'servers/i-1']) {
         const written = await store.write({ key, text: 'x', expected: 0 });
         expect(written).to.include({ kind: 'not-done', reason: 'status 403' });
       }
     });
-    it('a lease that is over cannot carry a key', async () => {
+    it('a lapsed lease cannot be renewed or hold a key', async () => {
       const granted = await store.grantLease(1000);
       const lease = granted.kind === 'held' ? granted.lease : '';
       expect(await store.renewLease(lease)).to.include({ kind: 'held', lease });
@@ -105,14 +105,14 @@
       const written = await store.write({ key: 'k', text: 'x', expected: 0, lease });
       expect(written).to.have.property('kind', 'not-done');
     });
-    it('a cut watch is unknown, and the next call works', async () => {
+    it('a watch whose connection is cut is unknown, and the next call works', async () => {
       standin.put('k', 'v');
       const watch = store.watch('k', 1, 1000);
       setTimeout(() => standin.cutConnections(), 30);
       expect(await watch).to.have.property('kind', 'unknown');
       expect(await store.readItem('k', false)).to.have.property('kind', 'item');
     });
-    it('a store that is not there has certainly done nothing', async () => {
+    it('a write to a store that does not listen is certainly not applied', async () => {
       const gone = createKvStore({ host: '127.0.0.1', port: 1 }, TIMEOUT);
       expect(await gone.write({ key: 'k', text: 'v', expected: 0 })).to.have.property(
         'kind',
--- a/test/lessons.test.ts
+++ b/test/lessons.test.ts
@@ -33,12 +33,12 @@
   services: { alpha: { ...LESSONS.services.alpha, life } },
 });
 
-describe('what daemons have learnt', () => {
-  describe('as a record', () => {
-    it('is read as it was written', () => {
+describe('the learned state of daemons', () => {
+  describe('the stored record', () => {
+    it('is parsed as it was formatted', () => {
       expect(parseLearnedState(formatLearnedState(LESSONS))).to.deep.equal(LESSONS);
     });
-    it('keeps only what makes sense', () => {
+    it('keeps only valid entries', () => {
       for (const text of ['', '7', 'null', '[]', '{"services":7}']) {
         expect(parseLearnedState(text)).to.deep.equal(EMPTY_LEARNED_STATE);
       }
@@ -53,7 +53,7 @@
         poison: [],
       });
     });
-    it('is news when something is new or quite different', () => {
+    it('changes significantly when an entry is new or a value differs by more than 30 %', () => {
       expect(hasSignificantChange(LESSONS, EMPTY_LEARNED_STATE)).to.equal(true);
       expect(hasSignificantChange(LESSONS, LESSONS)).to.equal(false);
       expect(
@@ -113,7 +113,7 @@
       await pause(30);
     };
 
-    it('is written by one daemon, when it is news, and known to the next that starts', async () => {
+    it('is written by one daemon after a significant change, and read by the next that starts', async () => {
       let learnt = LESSONS;
       startBook(true, () => learnt);
       await passTime();
@@ -127,7 +127,7 @@
       await passTime();
       expect(found).to.deep.equal([change(500)]);
     });
-    it('is not written by others, nor lost to one that knows less', async () => {
+    it('is not written by other daemons, and keeps entries that the writer does not know', async () => {
       startBook(false, () => LESSONS);
       await passTime();
       expect(standin.get(KEYS.learnedState)).to.equal(undefined);
@@ -141,7 +141,7 @@
     });
   });
 
-  it('is where a daemon starts from that has seen nothing', () => {
+  it('gives a new daemon its initial estimates, which it does not report as its own', () => {
     const clock = new ManualClock();
     const random = createSeededRandom(1);
     const targets = new TargetSet({
--- a/test/platform.test.ts
+++ b/test/platform.test.ts
@@ -1,4 +1,4 @@
-/** The contract that every adapter of the platform must pass, with its faults in a table. */
+/** The contract of every platform adapter, with its behaviour under faults in a table. */
 import { expect } from 'chai';
 import { createSystemClock } from '../src/kernel/index.js';
 import {
@@ -42,7 +42,7 @@
   readonly fault: Fault;
   readonly read: string;
   readonly write: readonly string[];
-  /** Whether the write took effect all the same. */
+  /** Whether the write took effect nevertheless. */
   readonly applied: boolean;
 }
 
@@ -70,7 +70,7 @@
       fixture.platform.swap({ key, value, expect: expect_, lease });
 
     describe('compare-and-swap', () => {
-      it('creates only where there is nothing', async () => {
+      it('creates an item only when there is none', async () => {
         expect((await put('a', '1')).kind).to.equal('written');
         const second = await put('a', '2');
         expect(second).to.deep.include({ kind: 'conflict' });
@@ -96,12 +96,12 @@
         expect((await fixture.platform.read('a')).kind).to.equal('absent');
       });
 
-      it('refuses a value over a megabyte, unwritten', async () => {
+      it('refuses a value over a megabyte and writes nothing', async () => {
         expect((await put('a', 'x'.repeat(1_000_001))).kind).to.equal('refused');
         expect((await fixture.platform.read('a')).kind).to.equal('absent');
       });
 
-      it('lets one of many win', async () => {
+      it('lets exactly one of many concurrent writers win', async () => {
         const results = await Promise.all(
           Array.from({ length: 20 }, (_, i) => put('one', String(i))),
         );
@@ -110,7 +110,7 @@
     });
 
     describe('leases', () => {
-      it('remove their items when they lapse, and cannot be renewed then', async () => {
+      it('remove their items when they lapse, and cannot be renewed afterwards', async () => {
         const lease = await fixture.platform.grantLease(60);
         const id = lease.kind === 'held' ? lease.lease : '';
         await put('held', 'x', 0, id);
@@ -122,7 +122,7 @@
       });
     });
 
-    it('leases that lapsed in an outage took their items along', async () => {
+    it('leases that lapsed during an outage have removed their items', async () => {
       const lease = await fixture.platform.grantLease(5000);
       const id = lease.kind === 'held' ? lease.lease : '';
       await put('held', 'x', 0, id);
@@ -134,7 +134,7 @@
     });
 
     describe('watches', () => {
-      it('report a change that came before, and one that comes while waiting', async () => {
+      it('report an earlier change, and one that comes while waiting', async () => {
         const { signal } = new AbortController();
         await put('w/a', '1');
         expect((await fixture.platform.watch('w/', 0, signal)).kind).to.equal('changed');
@@ -144,7 +144,7 @@
         expect((await waiting).kind).to.equal('changed');
       });
 
-      it('say that history is gone, so that the range is read anew', async () => {
+      it('report that history is gone, so that the range is read again', async () => {
         await put('w/a', '1');
         await put('w/b', '2');
         fixture.store.compact();
@@ -167,7 +167,7 @@
     });
 
     describe('ranges and VMs', () => {
-      it('are whole when they take several pages', async () => {
+      it('are complete when they take several pages', async () => {
         for (let index = 100; index < 230; index += 1) fixture.store.put(`p/${index}`, 'x');
         const range = await fixture.platform.range('p/');
         expect(range.kind === 'items' && range.items).to.have.length(130);
--- a/test/self-report.test.ts
+++ b/test/self-report.test.ts
@@ -1,10 +1,10 @@
 import { expect } from 'chai';
 import { decodeSelfReport, parseBackoff, parseDraining } from '../src/platform/index.js';
 
-describe('what a target says of itself', () => {
+describe('the self-report of a target', () => {
   describe('in any answer', () => {
     for (const status of [200, 404, 500, 503]) {
-      it(`is decoded alike with status ${status}`, () => {
+      it(`is decoded the same way with status ${status}`, () => {
         const report = decodeSelfReport(status, {
           ...{ 'server-load': '1,2,4,150', 'server-limit': '2.5', 'server-leaving': '1' },
           ...{ 'warmup-ms': '700', 'instance-id': 'i-1', 'server-signature': 's' },
@@ -17,7 +17,7 @@
         });
       });
     }
-    it('is nothing where nothing is said', () => {
+    it('is empty when no header is sent', () => {
       expect(decodeSelfReport(200, {})).to.deep.equal({
         ...{ load: undefined, coldLeft: undefined, incarnation: undefined },
         ...{ rate: { kind: 'silent' }, draining: { kind: 'silent' }, backoff: { kind: 'silent' } },
@@ -26,15 +26,15 @@
     });
   });
 
-  describe('of draining', () => {
+  describe('of its draining', () => {
     for (const text of ['0', '', '1, 1', 'true', '01', '1.0']) {
-      it(`means nothing: ${JSON.stringify(text)}`, () => {
+      it(`is unreadable: ${JSON.stringify(text)}`, () => {
         expect(parseDraining(text)).to.deep.equal({ kind: 'unreadable', text });
       });
     }
   });
 
-  describe('of the time for which it wants nothing', () => {
+  describe('of the back-off it asks for', () => {
     for (const [text, time] of [
       ['3', 3000],
       ['0.25', 250],
@@ -42,7 +42,7 @@
       ['0', 0],
       ['7200', 7_200_000],
     ] as const) {
-      it(`is read: ${text} s`, () => {
+      it(`is parsed: ${text} s`, () => {
         expect(parseBackoff(text)).to.deep.equal({ kind: 'asked', time });
       });
     }
@@ -61,12 +61,12 @@
         expect(parseBackoff(text)).to.deep.equal({ kind: 'unreadable', text });
       });
     }
-    it('is unreadable as a date, of which the beginning is told', () => {
+    it('is unreadable as a date, of which the beginning is reported', () => {
       expect(parseBackoff('Thu, 03 Dec 2026 10:00:00 GMT')).to.deep.equal({
         ...{ kind: 'unreadable', text: 'Thu, 03 Dec 2026 10:' },
       });
     });
-    it('belongs to a rejection: other statuses say nothing by it', () => {
+    it('counts only in a rejection: other statuses ignore the header', () => {
       for (const status of [200, 301, 429, 500]) {
         const { backoff } = decodeSelfReport(status, { 'retry-after': '3' });
         expect(backoff).to.deep.equal({ kind: 'silent' });
--- a/test/strange.test.ts
+++ b/test/strange.test.ts
@@ -1,4 +1,7 @@
-/** What comes from others may be anything: it costs its sender, or the one entry, and nothing else. */
+/**
+ * Input from other processes may be anything. It must affect only its sender, or the one entry, and
+ * nothing else.
+ */
 import http from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { expect } from 'chai';
@@ -17,14 +20,14 @@
 import { StoreReader } from '../src/view/index.js';
 import { createTargets, createView } from './helpers/targets.js';
 
-/** A watch to which nothing comes. */
+/** A watch that never reports a change. */
 const waitForever = new Promise<WatchAnswer>(() => {});
 
 const RUNS = { numRuns: 400, seed: 11 };
 const ADDRESS = { host: '10.0.0.1', port: 80 };
 const GOOD = JSON.parse(writeTarget(ADDRESS)) as Readonly<Record<string, unknown>>;
 
-/** Replaces one leaf or branch of a document by something else. */
+/** Replaces one field or nested field of a document by an arbitrary value. */
 const anyMutant = fc
   .tuple(fc.constantFrom('address', 'info', 'status', 'born', 'x'), fc.anything(), fc.nat(3))
   .map(([field, value, inner]) => {
@@ -36,8 +39,8 @@
     return { ...GOOD, [field]: { ...branch, [names[inner % names.length] ?? 'y']: value } };
   });
 
-describe('an entry that anybody may have written', () => {
-  it('gives a target that can be used, or a fault; whatever the bytes', () => {
+describe('the record of a target with arbitrary content', () => {
+  it('decodes to a valid target or to a fault, whatever the bytes', () => {
     const check = (text: string) => {
       const record = decodeTarget('i-1', text);
       if ('kind' in record) return;
@@ -54,7 +57,7 @@
         try {
           check(JSON.stringify(document));
         } catch (error) {
-          // What can't be written as JSON can't stand in the store either.
+          // A value that can't be written as JSON can't be in the store either.
           if (!(error instanceof TypeError)) throw error;
         }
       }),
@@ -62,7 +65,7 @@
     );
   });
   for (const [what, change] of Object.entries({
-    'a state that is not named': { status: { state: 'odd', seq: 1 } },
+    'an unknown state': { status: { state: 'odd', seq: 1 } },
     'no status': { status: undefined },
     'slots as a text': { info: { service: 'alpha', zone: 'd1', slots: '4' } },
     'no slots': { info: { service: 'alpha', zone: 'd1', slots: 0 } },
@@ -70,7 +73,7 @@
     'a start as a text': { born: '1771688619032' },
     'no address': { address: 7 },
   })) {
-    it(`names no target with ${what}`, () => {
+    it(`decodes to a fault with ${what}`, () => {
       expect(decodeTarget('i-1', JSON.stringify({ ...GOOD, ...change }))).to.have.property(
         'kind',
         'fault',
@@ -79,8 +82,8 @@
   }
 });
 
-describe('one bad entry among good ones', () => {
-  it('is told once, names no target, and counts again when it is good', async () => {
+describe('one undecodable entry among valid ones', () => {
+  it('is logged once, gives no target, and gives one again when it is valid', async () => {
     const clock = new ManualClock();
     const view = createView();
     const lines: LogFields[] = [];
@@ -128,21 +131,21 @@
   });
 });
 
-describe('a target that started again under its name', () => {
+describe('a target that restarted under the same identifier', () => {
   const record = {
     ...{ incarnation: 'i-1', service: 'alpha', address: ADDRESS, domain: 'd1', slots: 4 },
     ...{ state: 'ready' as const, coldLeft: 0, born: 1000 },
   };
-  it('is the later one, in whatever order the news come', () => {
+  it('counts as the later run, in whatever order its changes arrive', () => {
     const view = createView();
     view.putTarget({ ...record, born: 2000 }, 5, 0);
-    // A late word of the earlier start, with a later revision.
+    // A late update by the earlier run, with a later revision.
     view.putTarget({ ...record, state: 'draining' }, 6, 0);
     expect(view.listTargets()[0].record).to.include({ born: 2000, state: 'ready' });
     view.putTarget({ ...record, born: 3000 }, 7, 0);
     expect(view.listTargets()[0].record.born).to.equal(3000);
   });
-  it('has no calls, slowness, failures or connections of the earlier one', () => {
+  it('has no calls, slowdown, failures or connections of the earlier run', () => {
     const view = createView();
     const clock = new ManualClock();
     const targets = createTargets(clock);
@@ -160,11 +163,11 @@
     expect(after?.load.lastSlowdown).to.equal(1);
     expect(after?.failures.read(0)).to.equal(0);
     expect(after?.isUsable).to.equal(true);
-    // What other daemons still tell of the earlier start is not taken for the later one.
+    // Reports of other daemons about the earlier run are not taken for the later one.
     expect(targets.findByHash(before?.hash ?? 0)).to.equal(undefined);
     expect(targets.findByHash(after?.hash ?? 0)).to.equal(after);
   });
-  it('is told on as a change, and not undone by a daemon that knows the earlier one', () => {
+  it('is passed on as a change, and not undone by a daemon that knows the earlier run', () => {
     const [one, other] = [createView(), createView()];
     one.putTarget(record, 5, 0);
     other.applyDelta(one.diffSince(other.position, 0), 0);
@@ -187,7 +190,7 @@
   });
   after(() => server.close());
 
-  it('are outcomes, never errors', async () => {
+  it('are returned as outcomes and never throw', async () => {
     const { port } = server.address() as AddressInfo;
     const store = createKvStore({ host: '127.0.0.1', port }, 500);
     await fc.assert(
@@ -213,8 +216,8 @@
   });
 });
 
-describe('what other daemons send', () => {
-  it('is taken whole or not at all, as a feed', () => {
+describe('messages of other daemons', () => {
+  it('are applied as a whole or not at all when they are a feed', () => {
     const view = createView();
     const record = decodeTarget('i-1', writeTarget(ADDRESS));
     if ('kind' in record) throw new Error('expected a record');
@@ -240,7 +243,7 @@
       RUNS,
     );
   });
-  it('is dropped as a datagram, whichever byte is off', () => {
+  it('are dropped without an error when any byte of a datagram is wrong', () => {
     const self = { domain: 'd1', capacity: 1, isSenior: true, state: 'ready' as const };
     const bytes = encodeDatagram({
       ...{ kind: 'tell', self: { ...self, utilisation: 0.1, pollers: 3 } },
@@ -263,7 +266,7 @@
   });
 });
 
-describe('questions for addresses', () => {
+describe('lookups of addresses', () => {
   it('get an answer, whatever the path', async () => {
     const server = await serveDirectory(
       { host: '127.0.0.1', port: 0 },
--- a/test/suspension.test.ts
+++ b/test/suspension.test.ts
@@ -3,7 +3,7 @@
 import { ManualClock, SuspensionMeter, createSystemClock } from '../src/kernel/index.js';
 import { Store, createStorePlatform } from '../src/standin/index.js';
 
-/** A machine whose clocks are told what happens to it. */
+/** A machine whose clocks the test controls. */
 class Machine {
   #monotonic = 5000;
 
@@ -11,13 +11,13 @@
 
   #boot = 90_000_000;
 
-  /** How fast the time since boot runs; not as fast as the others where it is another machine's. */
+  /** How fast the time since boot runs; another machine's runs at a different speed. */
   bootPace = 1;
 
   readonly sources = {
     monotonic: () => this.#monotonic,
     wall: () => this.#wall,
-    // Read in steps of ten milliseconds, as the system gives it.
+    // In steps of ten milliseconds, like the system's.
     sinceBoot: () => Math.floor(this.#boot / 10) * 10,
   };
 
@@ -37,7 +37,7 @@
   }
 }
 
-describe('a machine that is suspended', () => {
+describe('the suspension of a machine', () => {
   let machine: Machine;
   let meter: SuspensionMeter;
   beforeEach(() => {
@@ -45,7 +45,7 @@
     meter = new SuspensionMeter(machine.sources);
   });
 
-  /** Lets the machine run and looks at the meter as a daemon does. */
+  /** Lets the machine run and reads the meter as often as a daemon does. */
   const run = (time: number): number => {
     let suspended = 0;
     for (let at = 0; at < time; at += 20) {
@@ -55,21 +55,21 @@
     return suspended;
   };
 
-  it('knows at once for how long', () => {
+  it('is measured at once', () => {
     expect(run(10_000)).to.equal(0);
     machine.suspend(4000);
     expect(run(20)).to.be.closeTo(4000, 20);
     machine.suspend(700);
     expect(run(60_000)).to.be.closeTo(4700, 30);
   });
-  it('is not taken for one whose time of day was set, either way', () => {
+  it('is not confused with a wall clock that is set forward or back', () => {
     run(10_000);
     machine.setTime(2000);
     expect(run(5000)).to.equal(0);
     machine.setTime(-2000);
     expect(run(5000)).to.equal(0);
   });
-  it('is not believed in where the time since boot is another machine’s', () => {
+  it('is not detected wrongly where the time since boot belongs to another machine', () => {
     for (const pace of [0.4, 0.9, 1.5]) {
       machine.bootPace = pace;
       expect(run(20_000), String(pace)).to.equal(0);
@@ -77,7 +77,7 @@
       expect(run(20_000), String(pace)).to.equal(0);
     }
   });
-  it('has a clock that goes on meanwhile, and never goes back', () => {
+  it('is included in the monotonic time, which never goes back', () => {
     const clock = createSystemClock(machine.sources);
     let before = clock.now();
     for (let turn = 0; turn < 1000; turn += 1) {
@@ -89,7 +89,7 @@
     }
     expect(before - 5000).to.be.closeTo(23_000, 20);
   });
-  it('spends no grant whose lease has lapsed meanwhile, while another daemon spends its own', async () => {
+  it('stops a daemon from spending a grant whose lease has lapsed, while another daemon spends its own', async () => {
     const clock = createSystemClock(machine.sources);
     const world = new ManualClock();
     const platform = createStorePlatform(new Store(world), world);
--- a/test/turns.test.ts
+++ b/test/turns.test.ts
@@ -2,7 +2,7 @@
 import { EventLoopMonitor } from '../src/gateway/event-loop-monitor.js';
 import { type Log, type LogFields, ManualClock, TextMetrics } from '../src/kernel/index.js';
 
-/** An event loop that is moved by hand. */
+/** An event loop whose iterations and idle times the test controls. */
 class Loop {
   readonly clock = new ManualClock();
 
@@ -44,26 +44,26 @@
   }
 }
 
-describe('how long a request lay unread', () => {
+describe('the estimated arrival time of a request', () => {
   let loop: Loop;
 
   beforeEach(() => {
     loop = new Loop();
   });
 
-  it('is nothing where the loop had waited for it', async () => {
+  it('is the current time when the loop was idle until then', async () => {
     loop.watch.estimateArrival();
     loop.endTurn();
     await loop.wait(50);
     expect(loop.watch.estimateArrival()).to.equal(50);
   });
-  it('is what was worked in this turn before it, at most', async () => {
+  it('goes back at most to the start of this iteration after an idle period', async () => {
     await loop.wait(50);
     loop.watch.estimateArrival();
     await loop.work(40);
     expect(loop.watch.estimateArrival()).to.equal(70);
   });
-  it('begins with the turn before, where the loop has not waited since', async () => {
+  it('goes back to the previous poll when the loop has not been idle since', async () => {
     await loop.wait(50);
     loop.watch.estimateArrival();
     await loop.work(400);
@@ -71,10 +71,10 @@
     expect(loop.watch.estimateArrival()).to.equal(250);
     await loop.work(100);
     loop.endTurn();
-    // Looked at 450 for the last time before this turn.
+    // The last poll before this iteration was at 450.
     expect(loop.watch.estimateArrival()).to.equal(500);
   });
-  it('reaches back to a connection that was not looked at since it was accepted', async () => {
+  it('goes back to the accept of a connection that has not been read since', async () => {
     await loop.wait(50);
     loop.watch.estimateArrival();
     await loop.work(400);
@@ -85,7 +85,7 @@
     expect(loop.watch.estimateArrival(accepted)).to.equal((50 + 750) / 2);
     expect(loop.watch.estimateArrival()).to.equal((450 + 750) / 2);
   });
-  it('reaches back to the first of the turns that each accepted one', async () => {
+  it('goes back to the first of the iterations that each accepted a connection', async () => {
     for (let turn = 0; turn < 3; turn += 1) {
       loop.watch.recordAccept();
       await loop.work(100);
@@ -94,12 +94,12 @@
     const accepted = loop.watch.recordAccept();
     expect(loop.watch.estimateArrival(accepted)).to.equal(150);
     loop.endTurn();
-    // A turn without one shows that none waits.
+    // An iteration without an accept shows that no connection is waiting.
     loop.endTurn();
     await loop.wait(10);
     expect(loop.watch.recordAccept().earliest).to.equal(310);
   });
-  it('is no longer than as many as may wait took before it', async () => {
+  it('goes back at most to the accept that lies a full listen queue ago', async () => {
     for (let turn = 0; turn < 10; turn += 1) {
       loop.watch.recordAccept();
       await loop.work(100);
@@ -107,19 +107,19 @@
     }
     expect(loop.watch.recordAccept().earliest).to.equal(600);
   });
-  it('does not reach back to the accepting once the loop has waited', async () => {
+  it('does not go back to the accept once the loop has been idle', async () => {
     const accepted = loop.watch.recordAccept();
     loop.endTurn();
     await loop.wait(16);
     expect(loop.watch.estimateArrival(accepted)).to.equal(16);
   });
-  it('is never before the start', () => {
+  it('is never before the start of the monitor', () => {
     expect(loop.watch.estimateArrival()).to.equal(0);
   });
 });
 
 describe('the lag of the event loop', () => {
-  it('is told when work that was due ran late, and when connections may have waited', async () => {
+  it('is logged when a timer ran late, and when connections may have waited to be accepted', async () => {
     const loop = new Loop();
     const { clock } = loop;
     const sleeps = [100, 190];
@@ -144,8 +144,8 @@
   });
 });
 
-describe('callers whose wait nothing tells', () => {
-  it('may come for some seconds after more connections than may wait', async () => {
+describe('a listen queue that was full', () => {
+  it('is reported for some seconds, while callers with an unknown waiting time may arrive', async () => {
     const loop = new Loop();
     for (let count = 0; count < 3; count += 1) {
       loop.watch.recordAccept();
