--- a/test/gateway-settings.test.ts
+++ b/test/gateway-settings.test.ts
@@ -4,7 +4,7 @@
 import { formatMistake } from '../src/settings/index.js';
 
 /** The values that the platform fills into the template. */
-const FIELDS: Readonly<Record<string, string>> = {
+const TEMPLATE_FIELDS: Readonly<Record<string, string>> = {
   node: 'front-bp-angyal-1',
   ip: '10.1.0.35',
   zone: 'bp-angyal',
@@ -51,7 +51,10 @@
 
 describe('the settings of a gateway', () => {
   it("are parsed from the platform's template with its fields filled in", () => {
-    const settings = checkGatewaySettings('gateway.ini', writeSettings(FIELDS)).unsafeCoerce();
+    const settings = checkGatewaySettings(
+      'gateway.ini',
+      writeSettings(TEMPLATE_FIELDS),
+    ).unsafeCoerce();
     expect(settings.gateway.callers).to.deep.equal({ host: '10.1.0.35', port: 8144 });
     expect(settings.gateway.peer_ports).to.deep.equal([7660, 7675]);
     expect(settings.gateway.seeds).to.have.length(2);
@@ -67,24 +70,28 @@
     expect(settings.tuning.probe_interval).to.equal(100);
   });
   it('say whether the whole system starts for the first time', () => {
-    const text = writeSettings({ ...FIELDS, bootstrap: 'true' });
+    const text = writeSettings({ ...TEMPLATE_FIELDS, bootstrap: 'true' });
     const settings = checkGatewaySettings('gateway.ini', text).unsafeCoerce();
     expect(settings.gateway.first_start).to.equal('true');
   });
   it('default to no overshoot and no slack for cold targets', () => {
-    const { 'bounds.warmup_overshoot': overshoot, 'bounds.warmup_slack': slack, ...rest } = FIELDS;
+    const {
+      'bounds.warmup_overshoot': overshoot,
+      'bounds.warmup_slack': slack,
+      ...rest
+    } = TEMPLATE_FIELDS;
     expect([overshoot, slack]).to.deep.equal(['1.5', '8']);
     const settings = checkGatewaySettings('gateway.ini', writeSettings(rest)).unsafeCoerce();
     expect(settings.promises).to.include({ cold_overshoot: 1, cold_slack: 0 });
   });
   it('default to two seconds for a configuration or a drain to be in force', () => {
-    const { 'bounds.config_apply_ms': apply, 'bounds.drain_ms': drain, ...rest } = FIELDS;
+    const { 'bounds.config_apply_ms': apply, 'bounds.drain_ms': drain, ...rest } = TEMPLATE_FIELDS;
     expect([apply, drain]).to.deep.equal(['2500', '3000']);
     const settings = checkGatewaySettings('gateway.ini', writeSettings(rest)).unsafeCoerce();
     expect(settings.promises).to.include({ config_apply: 2000, drain: 2000 });
   });
   it('may have no seeds', () => {
-    const text = writeSettings({ ...FIELDS, seeds: '' });
+    const text = writeSettings({ ...TEMPLATE_FIELDS, seeds: '' });
     const settings = checkGatewaySettings('gateway.ini', text).unsafeCoerce();
     expect(settings.gateway.seeds).to.deep.equal([]);
   });
@@ -105,7 +112,7 @@
     ],
   ] as const) {
     it(`report where ${what} is wrong, and what was expected`, () => {
-      const text = writeSettings(FIELDS).replace(from, to);
+      const text = writeSettings(TEMPLATE_FIELDS).replace(from, to);
       const mistakes = checkGatewaySettings('gateway.ini', text).swap().unsafeCoerce();
       expect(mistakes.map(formatMistake).join('\n')).to.include(message);
     });
--- a/test/lessons.test.ts
+++ b/test/lessons.test.ts
@@ -21,54 +21,54 @@
 import { KvStandin } from '../src/standin/index.js';
 import { noopListener } from './helpers/listener.js';
 
-const LESSONS: LearnedState = {
+const LEARNED: LearnedState = {
   services: { alpha: { mean: 2, slow: 5, life: 150, knee: 1.7 } },
   routes: { 'r/a/': { work: 220, spread: 1.35 } },
   homes: 4,
   poison: [{ request: 'q1', ended: [7, 9], releases: ['v1'], at: 1_700_000_000_000 }],
 };
 
-const change = (life: number): LearnedState => ({
-  ...LESSONS,
-  services: { alpha: { ...LESSONS.services.alpha, life } },
+const withReportLife = (life: number): LearnedState => ({
+  ...LEARNED,
+  services: { alpha: { ...LEARNED.services.alpha, life } },
 });
 
 describe('the learned state of daemons', () => {
   describe('the stored record', () => {
     it('is parsed as it was formatted', () => {
-      expect(parseLearnedState(formatLearnedState(LESSONS))).to.deep.equal(LESSONS);
+      expect(parseLearnedState(formatLearnedState(LEARNED))).to.deep.equal(LEARNED);
     });
     it('keeps only valid entries', () => {
       for (const text of ['', '7', 'null', '[]', '{"services":7}']) {
         expect(parseLearnedState(text)).to.deep.equal(EMPTY_LEARNED_STATE);
       }
-      const odd = JSON.stringify({
-        services: { ...LESSONS.services, bad: { mean: 1 }, none: null },
+      const partlyInvalid = JSON.stringify({
+        services: { ...LEARNED.services, bad: { mean: 1 }, none: null },
         routes: { worse: { work: -1, spread: 'x' } },
       });
-      expect(parseLearnedState(odd)).to.deep.equal({
-        services: LESSONS.services,
+      expect(parseLearnedState(partlyInvalid)).to.deep.equal({
+        services: LEARNED.services,
         routes: {},
         homes: 0,
         poison: [],
       });
     });
     it('changes significantly when an entry is new or a value differs by more than 30 %', () => {
-      expect(hasSignificantChange(LESSONS, EMPTY_LEARNED_STATE)).to.equal(true);
-      expect(hasSignificantChange(LESSONS, LESSONS)).to.equal(false);
+      expect(hasSignificantChange(LEARNED, EMPTY_LEARNED_STATE)).to.equal(true);
+      expect(hasSignificantChange(LEARNED, LEARNED)).to.equal(false);
       expect(
-        hasSignificantChange({ ...EMPTY_LEARNED_STATE, homes: 4, poison: LESSONS.poison }, LESSONS),
+        hasSignificantChange({ ...EMPTY_LEARNED_STATE, homes: 4, poison: LEARNED.poison }, LEARNED),
       ).to.equal(false);
-      expect(hasSignificantChange({ ...LESSONS, homes: 8 }, LESSONS)).to.equal(true);
-      expect(hasSignificantChange(change(160), LESSONS)).to.equal(false);
-      expect(hasSignificantChange(change(500), LESSONS)).to.equal(true);
+      expect(hasSignificantChange({ ...LEARNED, homes: 8 }, LEARNED)).to.equal(true);
+      expect(hasSignificantChange(withReportLife(160), LEARNED)).to.equal(false);
+      expect(hasSignificantChange(withReportLife(500), LEARNED)).to.equal(true);
     });
   });
 
   describe('in the store', () => {
     let standin: KvStandin;
     let store: KvStore;
-    let ends: AbortController;
+    let abort: AbortController;
     const pause = (time: number) =>
       new Promise<void>((resolve) => {
         setTimeout(resolve, time);
@@ -77,17 +77,17 @@
     beforeEach(async () => {
       standin = new KvStandin();
       store = createKvStore(await standin.start(), 500);
-      ends = new AbortController();
+      abort = new AbortController();
     });
     afterEach(async () => {
-      ends.abort();
+      abort.abort();
       store.close();
       await standin.stop();
     });
 
-    function startBook(
+    function startStore(
       isWriter: boolean,
-      learnt: () => LearnedState,
+      readLearned: () => LearnedState,
     ): { readonly found: LearnedState[] } {
       const clock = new ManualClock();
       clocks.push(clock);
@@ -98,46 +98,51 @@
         { writableLength: 0, write: () => true },
       );
       const found: LearnedState[] = [];
-      const book = new LearnedStateStore({
+      const learnedState = new LearnedStateStore({
         ...{ store, clock, log, isWriter: () => isWriter, isHome: () => isWriter },
         isFirstStart: false,
-        ...{ readLearnedState: learnt, onRead: (lessons) => found.push(lessons) },
+        ...{ readLearnedState: readLearned, onRead: (state) => found.push(state) },
       });
-      book.run(ends.signal).catch(() => undefined);
+      learnedState.run(abort.signal).catch(() => undefined);
       return { found };
     }
     const clocks: ManualClock[] = [];
-    const passTime = async () => {
+    const advanceClocks = async () => {
       await pause(30);
       for (const clock of clocks) await clock.advance(5000);
       await pause(30);
     };
 
     it('is written by one daemon after a significant change, and read by the next that starts', async () => {
-      let learnt = LESSONS;
-      startBook(true, () => learnt);
-      await passTime();
-      expect(parseLearnedState(standin.get(KEYS.learnedState) ?? '')).to.deep.equal(LESSONS);
-      learnt = change(160);
-      await passTime();
-      expect(parseLearnedState(standin.get(KEYS.learnedState) ?? '')).to.deep.equal(LESSONS);
-      learnt = change(500);
-      await passTime();
-      const { found } = startBook(false, () => EMPTY_LEARNED_STATE);
-      await passTime();
-      expect(found).to.deep.equal([change(500)]);
+      let learned = LEARNED;
+      startStore(true, () => learned);
+      await advanceClocks();
+      expect(parseLearnedState(standin.get(KEYS.learnedState) ?? '')).to.deep.equal(LEARNED);
+      learned = withReportLife(160);
+      await advanceClocks();
+      expect(parseLearnedState(standin.get(KEYS.learnedState) ?? '')).to.deep.equal(LEARNED);
+      learned = withReportLife(500);
+      await advanceClocks();
+      const { found } = startStore(false, () => EMPTY_LEARNED_STATE);
+      await advanceClocks();
+      expect(found).to.deep.equal([withReportLife(500)]);
     });
     it('is not written by other daemons, and keeps entries that the writer does not know', async () => {
-      startBook(false, () => LESSONS);
-      await passTime();
+      startStore(false, () => LEARNED);
+      await advanceClocks();
       expect(standin.get(KEYS.learnedState)).to.equal(undefined);
-      standin.put(KEYS.learnedState, formatLearnedState(LESSONS));
-      const more = { services: { beta: LESSONS.services.alpha }, routes: {}, homes: 4, poison: [] };
-      startBook(true, () => more);
-      await passTime();
+      standin.put(KEYS.learnedState, formatLearnedState(LEARNED));
+      const otherLearned = {
+        services: { beta: LEARNED.services.alpha },
+        routes: {},
+        homes: 4,
+        poison: [],
+      };
+      startStore(true, () => otherLearned);
+      await advanceClocks();
       const kept = parseLearnedState(standin.get(KEYS.learnedState) ?? '');
       expect(Object.keys(kept.services)).to.have.members(['alpha', 'beta']);
-      expect(kept.routes).to.deep.equal(LESSONS.routes);
+      expect(kept.routes).to.deep.equal(LEARNED.routes);
     });
   });
 
@@ -155,8 +160,8 @@
     });
     targets.getService('alpha');
     targets.restoreLearnedState({
-      ...LESSONS.services,
-      late: { ...LESSONS.services.alpha, life: 900 },
+      ...LEARNED.services,
+      late: { ...LEARNED.services.alpha, life: 900 },
     });
     expect(targets.getService('alpha').readPattern()).to.deep.equal({
       mean: 2,
@@ -181,7 +186,7 @@
         ...{ clock, log, metrics, mayRunTrials: () => true, send: () => undefined },
       }),
     });
-    reception.restoreLearnedState(LESSONS.routes);
+    reception.restoreLearnedState(LEARNED.routes);
     expect(reception.readLearnedState()).to.deep.equal({});
   });
 });
--- a/test/strange.test.ts
+++ b/test/strange.test.ts
@@ -21,22 +21,22 @@
 import { createTargets, createView } from './helpers/targets.js';
 
 /** A watch that never reports a change. */
-const waitForever = new Promise<WatchAnswer>(() => {});
+const pendingWatch = new Promise<WatchAnswer>(() => {});
 
 const RUNS = { numRuns: 400, seed: 11 };
 const ADDRESS = { host: '10.0.0.1', port: 80 };
-const GOOD = JSON.parse(writeTarget(ADDRESS)) as Readonly<Record<string, unknown>>;
+const VALID_RECORD = JSON.parse(writeTarget(ADDRESS)) as Readonly<Record<string, unknown>>;
 
 /** Replaces one field or nested field of a document by an arbitrary value. */
-const anyMutant = fc
+const arbitraryRecord = fc
   .tuple(fc.constantFrom('address', 'info', 'status', 'born', 'x'), fc.anything(), fc.nat(3))
   .map(([field, value, inner]) => {
-    const branch = GOOD[field];
+    const branch = VALID_RECORD[field];
     if (inner === 0 || typeof branch !== 'object' || branch === null) {
-      return { ...GOOD, [field]: value };
+      return { ...VALID_RECORD, [field]: value };
     }
     const names = Object.keys(branch);
-    return { ...GOOD, [field]: { ...branch, [names[inner % names.length] ?? 'y']: value } };
+    return { ...VALID_RECORD, [field]: { ...branch, [names[inner % names.length] ?? 'y']: value } };
   });
 
 describe('the record of a target with arbitrary content', () => {
@@ -53,7 +53,7 @@
     fc.assert(fc.property(fc.string(), check), RUNS);
     fc.assert(fc.property(fc.json(), check), RUNS);
     fc.assert(
-      fc.property(anyMutant, (document) => {
+      fc.property(arbitraryRecord, (document) => {
         try {
           check(JSON.stringify(document));
         } catch (error) {
@@ -74,7 +74,7 @@
     'no address': { address: 7 },
   })) {
     it(`decodes to a fault with ${what}`, () => {
-      expect(decodeTarget('i-1', JSON.stringify({ ...GOOD, ...change }))).to.have.property(
+      expect(decodeTarget('i-1', JSON.stringify({ ...VALID_RECORD, ...change }))).to.have.property(
         'kind',
         'fault',
       );
@@ -99,7 +99,7 @@
       const item = { key: `${KEYS.targets}i-2`, text, revision };
       return { kind: 'events', events: [{ kind: 'written', item }], storeRevision: revision };
     });
-    const known: number[] = [];
+    const targetCounts: number[] = [];
     const reader = new StoreReader({
       ...{
         view,
@@ -115,17 +115,17 @@
         readItems: () =>
           Promise.resolve({ kind: 'items', items, storeRevision: 10, hasMore: false }),
         watch: (prefix) => {
-          known.push(view.listTargets().length);
+          targetCounts.push(view.listTargets().length);
           const next = prefix === KEYS.all ? answers.shift() : undefined;
-          return next === undefined ? waitForever : Promise.resolve(next);
+          return next === undefined ? pendingWatch : Promise.resolve(next);
         },
       },
     });
-    const ends = new AbortController();
-    reader.run(ends.signal).catch(() => undefined);
+    const abort = new AbortController();
+    reader.run(abort.signal).catch(() => undefined);
     for (let round = 0; round < 10; round += 1) await clock.advance(250);
-    ends.abort();
-    expect(known).to.deep.equal([2, 1, 1, 2]);
+    abort.abort();
+    expect(targetCounts).to.deep.equal([2, 1, 1, 2]);
     expect(lines.filter(({ incarnation }) => incarnation === 'i-2')).to.have.length(1);
     expect(reader.unreadableCount).to.equal(0);
   });
@@ -223,21 +223,24 @@
     if ('kind' in record) throw new Error('expected a record');
     view.putTarget(record, 5, 0);
     const delta = view.diffSince({ targets: 0, configuration: 0, evacuations: 0 }, 0);
-    const good = JSON.parse(JSON.stringify({ delta, members: [] })) as {
+    const validAnswer = JSON.parse(JSON.stringify({ delta, members: [] })) as {
       readonly delta: Readonly<Record<string, unknown>>;
     };
-    expect(parseFeedResponse(good)).to.deep.equal(good);
-    const fields = [...Object.keys(good.delta), 'configuration'];
+    expect(parseFeedResponse(validAnswer)).to.deep.equal(validAnswer);
+    const fields = [...Object.keys(validAnswer.delta), 'configuration'];
     fc.assert(
       fc.property(fc.constantFrom(...fields), fc.jsonValue(), (field, value) => {
-        const answer = parseFeedResponse({ ...good, delta: { ...good.delta, [field]: value } });
+        const answer = parseFeedResponse({
+          ...validAnswer,
+          delta: { ...validAnswer.delta, [field]: value },
+        });
         if (answer !== undefined) createView().applyDelta(answer.delta, 0);
       }),
       RUNS,
     );
     fc.assert(
       fc.property(fc.jsonValue(), (value) => {
-        expect(parseFeedResponse({ ...good, members: [value] })).to.equal(undefined);
+        expect(parseFeedResponse({ ...validAnswer, members: [value] })).to.equal(undefined);
         expect(parseFeedResponse(value)).to.equal(undefined);
       }),
       RUNS,
@@ -257,9 +260,9 @@
     });
     fc.assert(
       fc.property(fc.nat(bytes.length - 1), fc.nat(255), (at, value) => {
-        const spoilt = Uint8Array.from(bytes);
-        spoilt[at] = value;
-        expect(() => decodeDatagram(spoilt)).to.not.throw();
+        const corrupted = Uint8Array.from(bytes);
+        corrupted[at] = value;
+        expect(() => decodeDatagram(corrupted)).to.not.throw();
       }),
       RUNS,
     );
@@ -274,7 +277,7 @@
       () => 1000,
     );
     const { port } = server.address() as AddressInfo;
-    const ask = (path: string) =>
+    const request = (path: string) =>
       new Promise<number>((resolve, reject) => {
         http
           .get({ host: '127.0.0.1', port, path, agent: false }, (response) => {
@@ -286,11 +289,11 @@
     const paths = fc.string({ unit: fc.constantFrom(...'/?%&=:@[]#a1') }).map((text) => `/${text}`);
     await fc.assert(
       fc.asyncProperty(paths, async (path) => {
-        expect(await ask(path)).to.be.oneOf([400, 404]);
+        expect(await request(path)).to.be.oneOf([400, 404]);
       }),
       { numRuns: 150, seed: 7 },
     );
-    expect(await ask('/resolve?name=%ff&zone=%zz')).to.equal(200);
+    expect(await request('/resolve?name=%ff&zone=%zz')).to.equal(200);
     server.close();
   });
 });
--- a/test/suspension.test.ts
+++ b/test/suspension.test.ts
@@ -12,7 +12,7 @@
   #boot = 90_000_000;
 
   /** How fast the time since boot runs; another machine's runs at a different speed. */
-  bootPace = 1;
+  bootSpeed = 1;
 
   readonly sources = {
     monotonic: () => this.#monotonic,
@@ -24,7 +24,7 @@
   run(time: number): void {
     this.#monotonic += time;
     this.#wall += time;
-    this.#boot += time * this.bootPace;
+    this.#boot += time * this.bootSpeed;
   }
 
   suspend(time: number): void {
@@ -71,7 +71,7 @@
   });
   it('is not detected wrongly where the time since boot belongs to another machine', () => {
     for (const pace of [0.4, 0.9, 1.5]) {
-      machine.bootPace = pace;
+      machine.bootSpeed = pace;
       expect(run(20_000), String(pace)).to.equal(0);
       machine.setTime(2000);
       expect(run(20_000), String(pace)).to.equal(0);
@@ -80,10 +80,10 @@
   it('is included in the monotonic time, which never goes back', () => {
     const clock = createSystemClock(machine.sources);
     let before = clock.now();
-    for (let turn = 0; turn < 1000; turn += 1) {
+    for (let iteration = 0; iteration < 1000; iteration += 1) {
       machine.run(20);
-      if (turn === 500) machine.suspend(3000);
-      if (turn === 700) machine.setTime(-5000);
+      if (iteration === 500) machine.suspend(3000);
+      if (iteration === 700) machine.setTime(-5000);
       expect(clock.now()).to.be.at.least(before);
       before = clock.now();
     }
@@ -91,21 +91,21 @@
   });
   it('stops a daemon from spending a grant whose lease has lapsed, while another daemon spends its own', async () => {
     const clock = createSystemClock(machine.sources);
-    const world = new ManualClock();
-    const platform = createStorePlatform(new Store(world), world);
-    const makeGrant = (time: typeof clock | ManualClock) =>
+    const worldClock = new ManualClock();
+    const platform = createStorePlatform(new Store(worldClock), worldClock);
+    const createGrant = (time: typeof clock | ManualClock) =>
       new MeasuringGrant(buildGrantKey('ledger', 'main'), 100, platform, time);
-    for (let turn = 0; turn < 500; turn += 1) {
+    for (let iteration = 0; iteration < 500; iteration += 1) {
       machine.run(20);
       clock.now();
     }
-    const sleeper = makeGrant(clock);
-    expect(await sleeper.spend(6)).to.equal(true);
+    const suspendedDaemon = createGrant(clock);
+    expect(await suspendedDaemon.spend(6)).to.equal(true);
     machine.suspend(GRANT_SPAN + 500);
-    await world.advance(GRANT_SPAN + 500);
-    const other = makeGrant(world);
-    expect(await other.spend(6)).to.equal(true);
+    await worldClock.advance(GRANT_SPAN + 500);
+    const otherDaemon = createGrant(worldClock);
+    expect(await otherDaemon.spend(6)).to.equal(true);
     machine.run(20);
-    expect(await sleeper.spend(6)).to.equal(false);
+    expect(await suspendedDaemon.spend(6)).to.equal(false);
   });
 });
--- a/test/turns.test.ts
+++ b/test/turns.test.ts
@@ -12,14 +12,14 @@
 
   #ends: (() => void)[] = [];
 
-  readonly watch: EventLoopMonitor;
+  readonly monitor: EventLoopMonitor;
 
   readonly log: Log;
 
   constructor() {
     const write = (event: string, fields: LogFields = {}) => this.lines.push({ event, fields });
     this.log = { debug: write, info: write, warn: write, error: write };
-    this.watch = new EventLoopMonitor({
+    this.monitor = new EventLoopMonitor({
       ...{ clock: this.clock, metrics: new TextMetrics(), log: this.log, listenQueue: 4 },
       source: {
         readIdleMs: () => this.#idle,
@@ -28,7 +28,7 @@
     });
   }
 
-  async wait(time: number): Promise<void> {
+  async idle(time: number): Promise<void> {
     this.#idle += time;
     await this.clock.advance(time);
   }
@@ -37,7 +37,7 @@
     return this.clock.advance(time);
   }
 
-  endTurn(): void {
+  endIteration(): void {
     const ends = this.#ends;
     this.#ends = [];
     for (const end of ends) end();
@@ -52,69 +52,69 @@
   });
 
   it('is the current time when the loop was idle until then', async () => {
-    loop.watch.estimateArrival();
-    loop.endTurn();
-    await loop.wait(50);
-    expect(loop.watch.estimateArrival()).to.equal(50);
+    loop.monitor.estimateArrival();
+    loop.endIteration();
+    await loop.idle(50);
+    expect(loop.monitor.estimateArrival()).to.equal(50);
   });
   it('goes back at most to the start of this iteration after an idle period', async () => {
-    await loop.wait(50);
-    loop.watch.estimateArrival();
+    await loop.idle(50);
+    loop.monitor.estimateArrival();
     await loop.work(40);
-    expect(loop.watch.estimateArrival()).to.equal(70);
+    expect(loop.monitor.estimateArrival()).to.equal(70);
   });
   it('goes back to the previous poll when the loop has not been idle since', async () => {
-    await loop.wait(50);
-    loop.watch.estimateArrival();
+    await loop.idle(50);
+    loop.monitor.estimateArrival();
     await loop.work(400);
-    loop.endTurn();
-    expect(loop.watch.estimateArrival()).to.equal(250);
+    loop.endIteration();
+    expect(loop.monitor.estimateArrival()).to.equal(250);
     await loop.work(100);
-    loop.endTurn();
+    loop.endIteration();
     // The last poll before this iteration was at 450.
-    expect(loop.watch.estimateArrival()).to.equal(500);
+    expect(loop.monitor.estimateArrival()).to.equal(500);
   });
   it('goes back to the accept of a connection that has not been read since', async () => {
-    await loop.wait(50);
-    loop.watch.estimateArrival();
+    await loop.idle(50);
+    loop.monitor.estimateArrival();
     await loop.work(400);
-    loop.endTurn();
-    const accepted = loop.watch.recordAccept();
+    loop.endIteration();
+    const accepted = loop.monitor.recordAccept();
     await loop.work(300);
-    loop.endTurn();
-    expect(loop.watch.estimateArrival(accepted)).to.equal((50 + 750) / 2);
-    expect(loop.watch.estimateArrival()).to.equal((450 + 750) / 2);
+    loop.endIteration();
+    expect(loop.monitor.estimateArrival(accepted)).to.equal((50 + 750) / 2);
+    expect(loop.monitor.estimateArrival()).to.equal((450 + 750) / 2);
   });
   it('goes back to the first of the iterations that each accepted a connection', async () => {
-    for (let turn = 0; turn < 3; turn += 1) {
-      loop.watch.recordAccept();
+    for (let iteration = 0; iteration < 3; iteration += 1) {
+      loop.monitor.recordAccept();
       await loop.work(100);
-      loop.endTurn();
+      loop.endIteration();
     }
-    const accepted = loop.watch.recordAccept();
-    expect(loop.watch.estimateArrival(accepted)).to.equal(150);
-    loop.endTurn();
+    const accepted = loop.monitor.recordAccept();
+    expect(loop.monitor.estimateArrival(accepted)).to.equal(150);
+    loop.endIteration();
     // An iteration without an accept shows that no connection is waiting.
-    loop.endTurn();
-    await loop.wait(10);
-    expect(loop.watch.recordAccept().earliest).to.equal(310);
+    loop.endIteration();
+    await loop.idle(10);
+    expect(loop.monitor.recordAccept().earliest).to.equal(310);
   });
   it('goes back at most to the accept that lies a full listen queue ago', async () => {
-    for (let turn = 0; turn < 10; turn += 1) {
-      loop.watch.recordAccept();
+    for (let iteration = 0; iteration < 10; iteration += 1) {
+      loop.monitor.recordAccept();
       await loop.work(100);
-      loop.endTurn();
+      loop.endIteration();
     }
-    expect(loop.watch.recordAccept().earliest).to.equal(600);
+    expect(loop.monitor.recordAccept().earliest).to.equal(600);
   });
   it('does not go back to the accept once the loop has been idle', async () => {
-    const accepted = loop.watch.recordAccept();
-    loop.endTurn();
-    await loop.wait(16);
-    expect(loop.watch.estimateArrival(accepted)).to.equal(16);
+    const accepted = loop.monitor.recordAccept();
+    loop.endIteration();
+    await loop.idle(16);
+    expect(loop.monitor.estimateArrival(accepted)).to.equal(16);
   });
   it('is never before the start of the monitor', () => {
-    expect(loop.watch.estimateArrival()).to.equal(0);
+    expect(loop.monitor.estimateArrival()).to.equal(0);
   });
 });
 
@@ -123,7 +123,7 @@
     const loop = new Loop();
     const { clock } = loop;
     const sleeps = [100, 190];
-    const late = new EventLoopMonitor({
+    const lateMonitor = new EventLoopMonitor({
       ...{ metrics: new TextMetrics(), log: loop.log, listenQueue: 4 },
       clock: {
         ...{ now: () => clock.now(), wall: () => clock.wall() },
@@ -132,14 +132,14 @@
       },
       source: { readIdleMs: () => 0, scheduleAfterIteration: () => undefined },
     });
-    const ends = new AbortController();
-    const running = late.run(ends.signal);
+    const abort = new AbortController();
+    const running = lateMonitor.run(abort.signal);
     await clock.advance(290);
     expect(loop.lines).to.deep.equal([{ event: 'loop.late', fields: { lag: 90 } }]);
-    late.recordAccept();
+    lateMonitor.recordAccept();
     await clock.advance(100);
     expect(loop.lines.at(-1)).to.deep.equal({ event: 'accept.late', fields: { run: 390 } });
-    ends.abort();
+    abort.abort();
     await running;
   });
 });
@@ -148,19 +148,19 @@
   it('is reported for some seconds, while callers with an unknown waiting time may arrive', async () => {
     const loop = new Loop();
     for (let count = 0; count < 3; count += 1) {
-      loop.watch.recordAccept();
+      loop.monitor.recordAccept();
       await loop.work(1);
-      loop.endTurn();
+      loop.endIteration();
     }
-    expect(loop.watch.hasRecentListenOverflow).to.equal(false);
-    loop.watch.recordAccept();
-    expect(loop.watch.hasRecentListenOverflow).to.equal(true);
-    loop.endTurn();
-    loop.endTurn();
-    await loop.wait(7000);
-    expect(loop.watch.hasRecentListenOverflow).to.equal(true);
-    await loop.wait(1000);
-    loop.watch.recordAccept();
-    expect(loop.watch.hasRecentListenOverflow).to.equal(false);
+    expect(loop.monitor.hasRecentListenOverflow).to.equal(false);
+    loop.monitor.recordAccept();
+    expect(loop.monitor.hasRecentListenOverflow).to.equal(true);
+    loop.endIteration();
+    loop.endIteration();
+    await loop.idle(7000);
+    expect(loop.monitor.hasRecentListenOverflow).to.equal(true);
+    await loop.idle(1000);
+    loop.monitor.recordAccept();
+    expect(loop.monitor.hasRecentListenOverflow).to.equal(false);
   });
 });
