--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -52,7 +52,7 @@
 const MAX_START_WAIT_MS = 2500;
 
 const START_CHECK_INTERVAL_MS = 25;
-const TRIM_INTERVAL_MS = 500;
+const TARGET_CHECK_INTERVAL_MS = 500;
 
 /**
  * How long a starting daemon waits for the state of other daemons before it reads the store itself:
@@ -422,10 +422,10 @@
       this.#storeReader.run(signal),
       this.#prober.run(signal),
       this.#loadExchange.run(signal),
-      this.#trimTargets(signal),
+      this.#runTargetChecks(signal),
       this.#homePlanner.run(signal),
       this.#eventLoop.run(signal),
-      this.#reportStatus(signal),
+      this.#logStatus(signal),
     ];
     for (const task of tasks) task.catch((error: Error) => this.#fail(error));
     await this.#waitUntilReady();
@@ -534,7 +534,7 @@
     });
   }
 
-  /** Updates the targets from the view, once for all changes of one event-loop iteration. */
+  /** Schedules one update of the targets from the view, for all changes of the current task. */
   #scheduleTargetRefresh(): void {
     if (this.#isRefreshScheduled) return;
     this.#isRefreshScheduled = true;
@@ -581,9 +581,9 @@
     return isNew || hasTooFewHomes ? Math.min(usualTtl, UNSETTLED_ANSWER_TTL_MS) : usualTtl;
   }
 
-  async #trimTargets(signal: AbortSignal): Promise<void> {
+  async #runTargetChecks(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.#clock.sleep(TRIM_INTERVAL_MS, signal);
+      await this.#clock.sleep(TARGET_CHECK_INTERVAL_MS, signal);
       this.#targets.runPeriodicChecks();
     }
   }
@@ -616,7 +616,7 @@
   }
 
   /** Logs the state and the counters periodically. */
-  async #reportStatus(signal: AbortSignal): Promise<void> {
+  async #logStatus(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await this.#clock.sleep(STATUS_INTERVAL_MS, signal);
       this.#log.info('gateway.status', describeStatus(this.#readStatus()));
