--- a/src/gateway/learned-state.ts
+++ b/src/gateway/learned-state.ts
@@ -1,76 +1,85 @@
 /**
- * What daemons have learnt of services and routes, kept in the platform's store for those that start
- * anew.
+ * Learned state: estimates for services and routes, kept in the platform's store for daemons that
+ * start.
  *
- * The pattern answered: all machines lose power, or many are killed at once, and all callers return
- * within a second. Daemons that know neither how long calls take nor where targets slow down nor how long
- * a report lasts send that second's calls to targets that are slow or full.
+ * Guards against overload after a mass restart: when all machines lose power, or many daemons are
+ * killed at once, all callers return within a second. Daemons that don't know how long calls take,
+ * where targets slow down and how long a load report stays valid would send that second's calls to
+ * targets that are slow or full.
  *
- * The lessons are a start and no decision: whatever a daemon sees itself replaces them, so old or missing
- * ones do no harm. One daemon writes, a few times a day, and only what has changed.
+ * The stored values are initial values only. A daemon replaces them by its own observations, so
+ * outdated or missing ones do no harm. One daemon writes the record, a few times a day, and only
+ * after a significant change.
  */
 import type { BlamedRequest } from '../balance/index.js';
 import type { Clock, Log } from '../kernel/index.js';
 import { KEYS, type KvStore } from '../platform/index.js';
 
-/** What is known of the targets of one service. */
+/** Estimates for the targets of one service. */
 export interface LearnedServiceState {
-  /** Mean slowdown, that of slow targets, and how long a report lasts in milliseconds. */
+  /** Mean slowdown of the targets. */
   readonly mean: number;
+  /** Mean slowdown of slow targets. */
   readonly slow: number;
+  /** How long a load report stays valid, in milliseconds. */
   readonly life: number;
   /** How many times longer a call takes at a nearly full target. */
   readonly knee: number;
 }
 
-/** What is known of the calls of one route. */
+/** Estimates for the calls of one route. */
 export interface LearnedRouteState {
   /** Time of a call at a usual, idle target, in milliseconds. */
   readonly work: number;
-  /** Most calls take no longer than this many times the expected time. */
+  /** Most calls take at most this many times the expected time. */
   readonly spread: number;
 }
 
-/** A request under which targets ended, and which is held out. */
+/** A poison request that is held out: targets ended while they ran it. */
 export interface StoredPoisonRequest extends BlamedRequest {
-  /** When the last of them ended, in milliseconds since 1970. */
+  /** When the last of these targets ended, in milliseconds since 1970. */
   readonly at: number;
 }
 
-/** All lessons, by name of the service or route. */
+/** The learned state, by name of the service or route. */
 export interface LearnedState {
   readonly services: Readonly<Record<string, LearnedServiceState>>;
   readonly routes: Readonly<Record<string, LearnedRouteState>>;
-  /** How many homes the load took. */
+  /** Number of homes that the load needed. */
   readonly homes: number;
-  /** Requests that are held out: after a loss of all power each of them would end targets anew. */
+  /**
+   * Requests that are held out. After a loss of all power each of them would crash targets again.
+   */
   readonly poison: readonly StoredPoisonRequest[];
 }
 
-/** The lessons of a daemon that has learnt nothing. */
+/** The state of a daemon that has learned nothing yet. */
 export const EMPTY_LEARNED_STATE: LearnedState = { services: {}, routes: {}, homes: 0, poison: [] };
 
-/** A figure that differs by less from the one written is no news. */
-const CHANGED = 0.3;
+/** A value is written again when it differs from the stored one by more than this part of it. */
+const MIN_CHANGE_RATIO = 0.3;
 
-/** Routes in the record; more would make it long, and unknown ones are learnt within some calls. */
-const MOST_ROUTES = 500;
+/** Limits the size of the record; missing routes are learned within a few calls. */
+const MAX_STORED_ROUTES = 500;
 
-/** Time between two looks at whether there is something to write or to read, in milliseconds. */
-const PACE = 5000;
+/** Interval at which the daemon checks whether to read or to write the record. */
+const CHECK_INTERVAL_MS = 5000;
 
 const SERVICE_FIELDS = ['mean', 'slow', 'life', 'knee'] as const;
 const ROUTE_FIELDS = ['work', 'spread'] as const;
 
-/** Keeps the entries that have all their figures; others were written by who knows whom. */
+/**
+ * Keeps the entries that have all fields with positive values; the record may have been written by
+ * anybody.
+ */
 function filterEntries<T>(value: unknown, fields: readonly string[]): Readonly<Record<string, T>> {
   if (typeof value !== 'object' || value === null) return {};
-  const isWhole = (entry: unknown) =>
+  const isComplete = (entry: unknown) =>
     fields.every((field) => Number((entry as Record<string, unknown> | null)?.[field]) > 0);
-  return Object.fromEntries(Object.entries(value).filter(([, entry]) => isWhole(entry)));
+  return Object.fromEntries(Object.entries(value).filter(([, entry]) => isComplete(entry)));
 }
 
-function isPoison(value: unknown): value is StoredPoisonRequest {
+function isStoredPoisonRequest(value: unknown): value is StoredPoisonRequest {
   const { request, ended, releases, at } = (value ?? {}) as Partial<StoredPoisonRequest>;
   if (typeof request !== 'string' || typeof at !== 'number') return false;
   if (!Array.isArray(ended) || !Array.isArray(releases)) return false;
@@ -80,7 +89,7 @@
   );
 }
 
-/** Reads a record; what makes no sense is left out. */
+/** Parses a record; invalid parts are left out. */
 export function parseLearnedState(text: string): LearnedState {
   try {
     const value = JSON.parse(text) as Partial<LearnedState> | null;
@@ -88,67 +97,79 @@
       services: filterEntries<LearnedServiceState>(value?.services, SERVICE_FIELDS),
       routes: filterEntries<LearnedRouteState>(value?.routes, ROUTE_FIELDS),
       homes: Number.isInteger(value?.homes) ? Math.max(0, value?.homes ?? 0) : 0,
-      poison: Array.isArray(value?.poison) ? value.poison.filter(isPoison) : [],
+      poison: Array.isArray(value?.poison) ? value.poison.filter(isStoredPoisonRequest) : [],
     };
   } catch {
     return EMPTY_LEARNED_STATE;
   }
 }
 
-/** Writes a record. */
+/** Formats a record; numbers are rounded to two decimals. */
 export function formatLearnedState({ services, routes, homes, poison }: LearnedState): string {
   const round = (_key: string, value: unknown) =>
     typeof value === 'number' ? Math.round(value * 100) / 100 : value;
-  const kept = Object.fromEntries(Object.entries(routes).slice(0, MOST_ROUTES));
-  return JSON.stringify({ services, routes: kept, homes, poison }, round);
+  const storedRoutes = Object.fromEntries(Object.entries(routes).slice(0, MAX_STORED_ROUTES));
+  return JSON.stringify({ services, routes: storedRoutes, homes, poison }, round);
 }
 
-function hasChanged<T extends object>(known: T | undefined, next: T): boolean {
-  if (known === undefined) return true;
-  const before = known as Readonly<Record<string, number>>;
+function hasValueChanged<T extends object>(stored: T | undefined, next: T): boolean {
+  if (stored === undefined) return true;
+  const storedValues = stored as Readonly<Record<string, number>>;
   return Object.entries(next).some(
-    ([field, value]) => Math.abs(value - before[field]) > CHANGED * before[field],
+    ([field, value]) =>
+      Math.abs(value - storedValues[field]) > MIN_CHANGE_RATIO * storedValues[field],
   );
 }
 
-/** Whether other requests are held out, or more targets have ended under one. */
-function hasPoisonChanged(next: LearnedState['poison'], written: LearnedState['poison']): boolean {
-  const name = ({ request, ended }: StoredPoisonRequest) => `${request}/${ended.length}`;
-  const before = new Set(written.map(name));
-  return next.length !== before.size || next.some((it) => !before.has(name(it)));
+/**
+ * Whether other requests are held out than stored, or more targets have ended under one of them.
+ */
+function hasPoisonChanged(next: LearnedState['poison'], stored: LearnedState['poison']): boolean {
+  const getKey = ({ request, ended }: StoredPoisonRequest) => `${request}/${ended.length}`;
+  const storedKeys = new Set(stored.map(getKey));
+  return next.length !== storedKeys.size || next.some((entry) => !storedKeys.has(getKey(entry)));
 }
 
-/** Whether something was learnt that the record does not tell, or tells quite differently. */
-export function hasSignificantChange(next: LearnedState, written: LearnedState): boolean {
+/**
+ * Whether the new state has entries that the stored one lacks, values that differ significantly, or
+ * other requests that are held out.
+ */
+export function hasSignificantChange(next: LearnedState, stored: LearnedState): boolean {
   return (
-    hasChanged({ homes: written.homes }, { homes: next.homes }) ||
-    hasPoisonChanged(next.poison, written.poison) ||
-    Object.entries(next.services).some(([name, it]) => hasChanged(written.services[name], it)) ||
+    hasValueChanged({ homes: stored.homes }, { homes: next.homes }) ||
+    hasPoisonChanged(next.poison, stored.poison) ||
+    Object.entries(next.services).some(([name, entry]) =>
+      hasValueChanged(stored.services[name], entry),
+    ) ||
     Object.entries(next.routes)
-      .slice(0, MOST_ROUTES)
-      .some(([name, it]) => hasChanged(written.routes[name], it))
+      .slice(0, MAX_STORED_ROUTES)
+      .some(([name, entry]) => hasValueChanged(stored.routes[name], entry))
   );
 }
 
-/** What the book is made from. */
+/** What the store of learned state works with. */
 export interface LearnedStateStoreOptions {
   readonly store: KvStore;
   readonly clock: Clock;
   readonly log: Log;
-  /** Whether the whole system starts for the first time: nobody has learnt anything yet. */
+  /** Whether the whole system starts for the first time, so that there is no record yet. */
   readonly isFirstStart: boolean;
-  /** Whether it falls to this daemon to write. */
+  /** Whether this daemon is the one that writes the record. */
   readonly isWriter: () => boolean;
-  /** Whether calls meet at this daemon. */
+  /** Whether this daemon is a home, to which callers send their calls. */
   readonly isHome: () => boolean;
-  /** What this daemon has learnt. */
+  /** Returns what this daemon has learned. */
   readonly readLearnedState: () => LearnedState;
-  readonly onFound: (lessons: LearnedState) => void;
+  /** Called with each state that was read from the store. */
+  readonly onRead: (state: LearnedState) => void;
 }
 
-/** Reads the record at the start and when calls begin to meet here, and keeps it while that is its duty. */
+/**
+ * Reads the record at the start and when this daemon becomes a home; writes it while this daemon is
+ * the writer.
+ */
 export class LearnedStateStore {
-  #written = EMPTY_LEARNED_STATE;
+  #stored = EMPTY_LEARNED_STATE;
 
   #revision = 0;
 
@@ -160,7 +181,7 @@
     if (!isFirstStart) await this.#read(true);
     let wasHome = isHome();
     while (!signal.aborted) {
-      await clock.sleep(PACE, signal);
+      await clock.sleep(CHECK_INTERVAL_MS, signal);
       if (signal.aborted) return;
       if (isHome() && !wasHome) await this.#read(true);
       wasHome = isHome();
@@ -168,32 +189,33 @@
     }
   }
 
-  async #read(isStale: boolean): Promise<void> {
-    const answer = await this.options.store.readItem(KEYS.learnedState, isStale);
+  async #read(allowStale: boolean): Promise<void> {
+    const answer = await this.options.store.readItem(KEYS.learnedState, allowStale);
     if (answer.kind !== 'item' || answer.item.revision < this.#revision) return;
     this.#revision = answer.item.revision;
-    this.#written = parseLearnedState(answer.item.text);
-    this.options.onFound(this.#written);
+    this.#stored = parseLearnedState(answer.item.text);
+    this.options.onRead(this.#stored);
   }
 
   async #write(): Promise<void> {
-    const { store, log, readLearnedState: listLessons } = this.options;
-    const learnt = listLessons();
-    if (!hasSignificantChange(learnt, this.#written)) return;
-    const lessons = {
-      services: { ...this.#written.services, ...learnt.services },
-      routes: { ...learnt.routes, ...this.#written.routes, ...learnt.routes },
-      ...{ homes: learnt.homes, poison: learnt.poison },
+    const { store, log, readLearnedState } = this.options;
+    const learned = readLearnedState();
+    if (!hasSignificantChange(learned, this.#stored)) return;
+    const merged = {
+      services: { ...this.#stored.services, ...learned.services },
+      routes: { ...learned.routes, ...this.#stored.routes, ...learned.routes },
+      ...{ homes: learned.homes, poison: learned.poison },
     };
-    const text = formatLearnedState(lessons);
-    const written = await store.write({ key: KEYS.learnedState, text, expected: this.#revision });
-    log.info('lessons.written', { outcome: written.kind, bytes: text.length });
-    if (written.kind === 'done') {
-      this.#written = parseLearnedState(text);
-      this.#revision = written.revision;
+    const text = formatLearnedState(merged);
+    const outcome = await store.write({ key: KEYS.learnedState, text, expected: this.#revision });
+    log.info('lessons.written', { outcome: outcome.kind, bytes: text.length });
+    if (outcome.kind === 'done') {
+      this.#stored = parseLearnedState(text);
+      this.#revision = outcome.revision;
       return;
     }
-    // Somebody else wrote, or the answer was lost: what stands there now is the start of the next try.
+    // Another daemon wrote first, or the answer was lost: the next attempt starts from what is
+    // stored now.
     await this.#read(false);
   }
 }
--- a/src/gateway/status.ts
+++ b/src/gateway/status.ts
@@ -1,4 +1,4 @@
-/** What a daemon tells of itself: gauges for whoever asks, and a line now and then. */
+/** The status of a gateway daemon, as gauges of the metrics and as a periodic log line. */
 import type { LogFields } from '../kernel/index.js';
 import type { MemberState } from '../peering/index.js';
 import type { ForwardingCounts } from './requests/forwarding.js';
@@ -6,60 +6,70 @@
 
 /** The state of a daemon at one moment. */
 export interface GatewayStatus {
+  /** Whether this daemon is starting, serving or stopping. */
   readonly state: MemberState;
-  /** IP numbers of the homes, as this daemon works them out. */
+  /** IP numbers of the homes, as this daemon computes them. */
   readonly homes: readonly string[];
+  /** Whether this daemon is one of the homes. */
   readonly isHome: boolean;
-  /** The part of its time in which this daemon was at work of late, from 0 to 1. */
-  readonly busy: number;
+  /** Recent utilisation of this daemon's event loop, from 0 to 1. */
+  readonly utilisation: number;
+  /** Daemons in the roster. */
   readonly members: number;
   /** Version of the configuration in force. */
-  readonly version: number | undefined;
-  /** Milliseconds since it was last shown that nothing newer is in the store. */
+  readonly configurationVersion: number | undefined;
+  /** Milliseconds since the view was last confirmed to be the newest. */
   readonly proofAge: number;
-  readonly counts: ForwardingCounts;
+  /** Requests since the start, by outcome. */
+  readonly requests: ForwardingCounts;
+  /** Lookups of addresses since the start. */
   readonly lookups: number;
-  readonly accepted: number;
+  /** Connections of callers accepted since the start. */
+  readonly connectionsAccepted: number;
+  /** Open connections of callers. */
   readonly connections: number;
-  /** Requests that were read and are not begun yet. */
+  /** Requests that were read and are not yet started. */
   readonly backlog: number;
-  /** Entries in the store that this daemon read and could not decode. */
-  readonly unreadable: number;
-  /** Failure domains whose targets take no calls. */
-  readonly evacuated: readonly string[];
-  /** Requests that are sent nowhere because targets ended under them. */
-  readonly heldOut: number;
+  /** Entries of the store that could not be decoded. */
+  readonly unreadableEntries: number;
+  /** Failure domains whose targets get no calls. */
+  readonly evacuatedDomains: readonly string[];
+  /** Poison requests that are held out: targets ended while they ran them. */
+  readonly heldOutRequests: number;
+  /** Probes sent since the start. */
   readonly probes: number;
-  readonly opened: number;
+  /** Connections to targets opened since the start. */
+  readonly targetConnectionsOpened: number;
+  /** Calls to the store since the start, by kind. */
   readonly storeCalls: Readonly<Record<string, number>>;
   readonly services: readonly TargetService[];
 }
 
-/** Stands for a proof that never came, in the metrics. */
-const MAX_AGE = 1_000_000_000;
+/** Reported as the age of the proof when there has been none yet. */
+const MISSING_PROOF_AGE_MS = 1_000_000_000;
 
-const BYTES_IN_MB = 1_048_576;
+const BYTES_PER_MB = 1_048_576;
 
 /** Lists the gauges of the metrics. */
 export function listGauges(status: GatewayStatus): Readonly<Record<string, number>> {
   const gauges: Record<string, number> = {
-    ...{ configuration_version: status.version ?? 0 },
-    ...{ proof_age_ms: Math.round(Math.min(status.proofAge, MAX_AGE)) },
+    ...{ configuration_version: status.configurationVersion ?? 0 },
+    ...{ proof_age_ms: Math.round(Math.min(status.proofAge, MISSING_PROOF_AGE_MS)) },
     ...{ members: status.members, homes: status.homes.length },
     ...{ is_home: Number(status.isHome), is_ready: Number(status.state === 'ready') },
-    ...{ lookups: status.lookups, connections: status.connections, busy: status.busy },
+    ...{ lookups: status.lookups, connections: status.connections, busy: status.utilisation },
     backlog: status.backlog,
-    ...{ targets_unreadable: status.unreadable, poison_held_out: status.heldOut },
-    domains_evacuated: status.evacuated.length,
-    ...{ probes: status.probes, target_connections_opened: status.opened },
+    ...{ targets_unreadable: status.unreadableEntries, poison_held_out: status.heldOutRequests },
+    domains_evacuated: status.evacuatedDomains.length,
+    ...{ probes: status.probes, target_connections_opened: status.targetConnectionsOpened },
     rss_bytes: process.memoryUsage.rss(),
   };
-  for (const [name, count] of Object.entries(status.counts)) gauges[`requests_${name}`] = count;
+  for (const [name, count] of Object.entries(status.requests)) gauges[`requests_${name}`] = count;
   for (const [kind, count] of Object.entries(status.storeCalls)) {
     gauges[`store_calls{kind="${kind}"}`] = count;
   }
   for (const service of status.services) {
-    const { name, queue, retryBudget: budget, targets } = service;
+    const { name, queue, retryBudget, targets } = service;
     gauges[`targets_limited{service="${name}"}`] = service.countLimited();
     gauges[`targets_draining{service="${name}"}`] = service.countDraining();
     gauges[`targets_backed_off{service="${name}"}`] = service.countBackedOff();
@@ -67,27 +77,35 @@
     gauges[`backed_off_away{service="${name}"}`] = service.backoffDiversions;
     gauges[`waiting{service="${name}"}`] = queue.size;
     gauges[`targets{service="${name}"}`] = targets.size;
-    gauges[`repeats_denied{service="${name}"}`] = budget.counts.denied;
+    gauges[`repeats_denied{service="${name}"}`] = retryBudget.counts.denied;
   }
   return gauges;
 }
 
-/** Describes the state as the fields of a log line. */
+/** Formats the status as the fields of a log line. */
 export function describeStatus(status: GatewayStatus): LogFields {
-  const { state, homes, counts, services, storeCalls } = status;
+  const { state, homes, requests, services, storeCalls } = status;
   return {
-    ...{ state, homes: homes.join(','), ...counts },
-    ...{ members: status.members, version: status.version, busy: status.busy.toFixed(2) },
+    ...{ state, homes: homes.join(','), ...requests },
+    ...{
+      members: status.members,
+      version: status.configurationVersion,
+      busy: status.utilisation.toFixed(2),
+    },
     knee: services
       .map((service) => `${service.name}:${service.knee.readFactor().toFixed(2)}`)
       .join(','),
     proof_age: Math.round(status.proofAge),
-    evacuated: status.evacuated.join(','),
-    ...{ accepted: status.accepted, connections: status.connections, backlog: status.backlog },
-    ...{ lookups: status.lookups, probes: status.probes, opened: status.opened },
+    evacuated: status.evacuatedDomains.join(','),
+    ...{
+      accepted: status.connectionsAccepted,
+      connections: status.connections,
+      backlog: status.backlog,
+    },
+    ...{ lookups: status.lookups, probes: status.probes, opened: status.targetConnectionsOpened },
     store: Object.entries(storeCalls)
       .map(([kind, count]) => `${kind}:${count}`)
       .join(','),
-    rss_mb: Math.round(process.memoryUsage.rss() / BYTES_IN_MB),
+    rss_mb: Math.round(process.memoryUsage.rss() / BYTES_PER_MB),
   };
 }
--- a/src/kernel/clock.ts
+++ b/src/kernel/clock.ts
@@ -1,19 +1,20 @@
 /** Time as a kernel service, so that a test or a test bench can replace it. */
 import os from 'node:os';
 import { createServiceKey } from './kernel.js';
-import { SuspensionMeter, type TimeSources } from './suspension.js';
+import { SuspensionMeter, type ClockSources } from './suspension.js';
 
 /** A pending timer. */
 export interface Timer {
-  /** Cancels the timer; a timer that has fired is left alone. */
+  /** Cancels the timer; no effect when it has fired. */
   cancel(): void;
 }
 
 /** The time service. All times are in milliseconds. */
 export interface Clock {
   /**
-   * Monotonic time, from an arbitrary origin. It never goes back, and counts the time for which the machine was
-   * suspended, so that nothing that was learnt before looks fresh after it. Timers don't count that time.
+   * Monotonic time from an arbitrary origin; it never goes back. It includes the time for which the
+   * machine was suspended, so that state from before a suspension doesn't look fresh after it.
+   * Timers don't count that time.
    */
   now(): number;
   /** Wall-clock time since 1970. It may jump, and differs between VMs. */
@@ -24,7 +25,7 @@
   sleep(delay: number, signal?: AbortSignal): Promise<void>;
 }
 
-/** The name of the time service. */
+/** The key of the time service. */
 export const clockService = createServiceKey<Clock>('clock');
 
 /** Resolves after `delay` on the given scheduler, or when `signal` aborts, whichever is first. */
@@ -46,14 +47,14 @@
   });
 }
 
-const SYSTEM_TIME: TimeSources = {
-  steady: () => performance.now(),
+const SYSTEM_CLOCKS: ClockSources = {
+  monotonic: () => performance.now(),
   wall: () => Date.now(),
   sinceBoot: () => os.uptime() * 1000,
 };
 
-/** Creates the clock of the machine. */
-export function createSystemClock(sources = SYSTEM_TIME): Clock {
+/** Creates the system clock of the machine. */
+export function createSystemClock(sources = SYSTEM_CLOCKS): Clock {
   const meter = new SuspensionMeter(sources);
   const schedule = (delay: number, action: () => void): Timer => {
     const handle = setTimeout(action, delay);
@@ -61,8 +62,8 @@
   };
   return {
     now: () => {
-      const steady = sources.steady();
-      return steady + meter.read(steady);
+      const monotonic = sources.monotonic();
+      return monotonic + meter.read(monotonic);
     },
     wall: () => sources.wall(),
     schedule,
@@ -70,19 +71,19 @@
   };
 }
 
-interface Pending {
-  readonly at: number;
-  readonly order: number;
+interface PendingTimer {
+  readonly dueAt: number;
+  readonly sequence: number;
   readonly action: () => void;
 }
 
-/** A clock that moves only when told to. Timers fire in order of their due time. */
+/** A clock that only moves when it is advanced. Timers fire in the order of their due times. */
 export class ManualClock implements Clock {
   #now = 0;
 
-  #order = 0;
+  #nextSequence = 0;
 
-  #pending: readonly Pending[] = [];
+  #pending: readonly PendingTimer[] = [];
 
   readonly #origin: number;
 
@@ -100,12 +101,16 @@
   }
 
   schedule(delay: number, action: () => void): Timer {
-    const entry: Pending = { at: this.#now + Math.max(0, delay), order: this.#order, action };
-    this.#order += 1;
-    this.#pending = [...this.#pending, entry];
+    const timer: PendingTimer = {
+      dueAt: this.#now + Math.max(0, delay),
+      sequence: this.#nextSequence,
+      action,
+    };
+    this.#nextSequence += 1;
+    this.#pending = [...this.#pending, timer];
     return {
       cancel: () => {
-        this.#pending = this.#pending.filter((other) => other !== entry);
+        this.#pending = this.#pending.filter((other) => other !== timer);
       },
     };
   }
@@ -114,24 +119,24 @@
     return sleepOn((after, action) => this.schedule(after, action), delay, signal);
   }
 
-  /** Moves time on by `span`, firing each due timer and letting its continuations run. */
+  /** Advances time by `span`; fires each due timer and lets its continuations run. */
   async advance(span: number): Promise<void> {
     const end = this.#now + span;
-    const settle = () =>
+    const runContinuations = () =>
       new Promise((resolve) => {
         setImmediate(resolve);
       });
-    // What is under way may be about to set a timer that falls into this span.
-    await settle();
+    // Code that is already running may be about to set a timer within this span.
+    await runContinuations();
     for (;;) {
       const [next] = this.#pending
-        .filter((entry) => entry.at <= end)
-        .sort((a, b) => a.at - b.at || a.order - b.order);
+        .filter((entry) => entry.dueAt <= end)
+        .sort((a, b) => a.dueAt - b.dueAt || a.sequence - b.sequence);
       if (next === undefined) break;
       this.#pending = this.#pending.filter((entry) => entry !== next);
-      this.#now = next.at;
+      this.#now = next.dueAt;
       next.action();
-      await settle();
+      await runContinuations();
     }
     this.#now = end;
   }
--- a/src/kernel/http-exchange.ts
+++ b/src/kernel/http-exchange.ts
@@ -1,11 +1,11 @@
-/** One small HTTP exchange with JSON in both directions, whose every outcome is a value. */
+/** One small HTTP exchange with JSON in both directions. Every outcome is a value. */
 import http from 'node:http';
 import { promisify } from 'node:util';
 import { gunzip } from 'node:zlib';
 import { scheduleLagTolerantTimeout } from './lag-tolerant-timeout.js';
 import type { Address } from './network.js';
 
-/** What to send. */
+/** The request of an exchange. */
 export interface HttpExchangeOptions {
   readonly agent: http.Agent;
   readonly address: Address;
@@ -14,35 +14,35 @@
   readonly body?: string;
   /** Longest wait for the whole answer, in milliseconds. */
   readonly timeout: number;
-  /** Gives the exchange up when it aborts. */
+  /** Cancels the exchange when it aborts. */
   readonly signal?: AbortSignal;
 }
 
-/** A whole answer; `body` is undefined when it was empty. */
+/** A complete answer; `body` is undefined when it was empty. */
 export interface HttpReply {
   readonly kind: 'reply';
   readonly status: number;
   readonly body: unknown;
 }
 
-/** No whole answer; `sent` tells whether the other side may have received the call. */
+/** No complete answer; `sent` tells whether the other side may have received the request. */
 export interface HttpFailure {
   readonly kind: 'failure';
   readonly sent: boolean;
   readonly reason: string;
 }
 
-/** How long answers between daemons are packed. */
+/** Content encoding of answers between daemons. */
 export const PEER_CONTENT_ENCODING = 'gzip';
 
-/** Longest answer that is unpacked, in bytes: many times the list of a large fleet. */
-const MOST_UNPACKED = 67_108_864;
+/** Longest answer after unpacking: many times the member list of a large fleet. */
+const MAX_UNPACKED_BYTES = 67_108_864;
 
-const startGunzip = promisify(gunzip);
+const gunzipAsync = promisify(gunzip);
 
-async function decodeBytes(response: http.IncomingMessage, bytes: Buffer): Promise<Buffer> {
+async function decodeBody(response: http.IncomingMessage, bytes: Buffer): Promise<Buffer> {
   if (response.headers['content-encoding'] !== PEER_CONTENT_ENCODING) return bytes;
-  return startGunzip(bytes, { maxOutputLength: MOST_UNPACKED });
+  return gunzipAsync(bytes, { maxOutputLength: MAX_UNPACKED_BYTES });
 }
 
 async function parseReply(
@@ -55,14 +55,14 @@
     return {
       kind: 'reply',
       status,
-      body: JSON.parse((await decodeBytes(response, bytes)).toString()),
+      body: JSON.parse((await decodeBody(response, bytes)).toString()),
     };
   } catch {
     return { kind: 'failure', sent: true, reason: 'the answer is not JSON' };
   }
 }
 
-/** Makes the exchange. A connection whose answer did not come carries nothing further. */
+/** Makes the exchange. A connection whose answer did not arrive is not used again. */
 export function exchangeHttp(question: HttpExchangeOptions): Promise<HttpReply | HttpFailure> {
   const { agent, address, method, path, body, timeout, signal } = question;
   return new Promise((resolve, reject) => {
@@ -75,7 +75,7 @@
           : { 'content-type': 'application/json', 'content-length': Buffer.byteLength(body) },
     });
     const timer = scheduleLagTolerantTimeout(timeout, () => request.destroy(new Error('timeout')));
-    const conclude = (outcome: HttpReply | HttpFailure) => {
+    const settle = (outcome: HttpReply | HttpFailure) => {
       timer.cancel();
       resolve(outcome);
     };
@@ -87,18 +87,18 @@
       } else sent = true;
     });
     request.on('error', (error: NodeJS.ErrnoException) =>
-      conclude({ kind: 'failure', sent, reason: error.code ?? error.message }),
+      settle({ kind: 'failure', sent, reason: error.code ?? error.message }),
     );
     request.on('response', (response) => {
       const chunks: Buffer[] = [];
       response.on('data', (chunk: Buffer) => chunks.push(chunk));
-      response.on('error', (error) => conclude({ kind: 'failure', sent, reason: error.message }));
+      response.on('error', (error) => settle({ kind: 'failure', sent, reason: error.message }));
       response.on('end', () => {
         if (!response.complete) {
-          conclude({ kind: 'failure', sent, reason: 'the answer broke off' });
+          settle({ kind: 'failure', sent, reason: 'the answer broke off' });
           return;
         }
-        parseReply(response, Buffer.concat(chunks)).then(conclude).catch(reject);
+        parseReply(response, Buffer.concat(chunks)).then(settle).catch(reject);
       });
     });
     request.end(body);
--- a/src/kernel/text-metrics.ts
+++ b/src/kernel/text-metrics.ts
@@ -1,8 +1,8 @@
 /**
- * Metrics as text for whoever asks: counters, gauges, and quantiles of histograms.
+ * Metrics as text for a reader that polls them: counters, gauges, and quantiles of histograms.
  *
- * The histograms are Node's own (HDR, native): the JavaScript library costs a starting daemon 100 ms
- * of processor and 17 MB, measured on 2026-12-02, which is a third of what the daemon needs in all.
+ * The histograms are Node's own (HDR, native). The JavaScript library takes 100 ms of processor
+ * time and 17 MB when a daemon starts, a third of what the daemon needs in all.
  */
 import { type RecordableHistogram, createHistogram } from 'node:perf_hooks';
 
@@ -11,8 +11,8 @@
 
 const QUANTILES = [50, 90, 99, 99.9] as const;
 
-/** Longest time that a histogram holds, in milliseconds. */
-const LONGEST = 600_000;
+/** Longest time that a histogram records; longer ones count as this. */
+const MAX_RECORDED_MS = 600_000;
 
 function formatName(name: string, labels: Labels): string {
   const pairs = Object.entries(labels).map(([key, value]) => `${key}="${value}"`);
@@ -27,10 +27,10 @@
 
   readonly #histograms = new Map<
     string,
-    { name: string; labels: Labels; h: RecordableHistogram }
+    { name: string; labels: Labels; histogram: RecordableHistogram }
   >();
 
-  /** Adds to a counter. */
+  /** Adds `amount` to a counter. */
   count(name: string, labels: Labels = {}, amount = 1): void {
     const key = formatName(name, labels);
     this.#counters.set(key, (this.#counters.get(key) ?? 0) + amount);
@@ -39,32 +39,32 @@
   /** Records a time in milliseconds. */
   observe(name: string, labels: Labels, time: number): void {
     const key = formatName(name, labels);
-    const known = this.#histograms.get(key);
-    const entry = known ?? {
+    const existing = this.#histograms.get(key);
+    const entry = existing ?? {
       ...{ name, labels },
-      h: createHistogram({ lowest: 1, highest: LONGEST, figures: 2 }),
+      histogram: createHistogram({ lowest: 1, highest: MAX_RECORDED_MS, figures: 2 }),
     };
-    if (known === undefined) this.#histograms.set(key, entry);
-    entry.h.record(Math.min(LONGEST, Math.max(1, Math.round(time))));
+    if (existing === undefined) this.#histograms.set(key, entry);
+    entry.histogram.record(Math.min(MAX_RECORDED_MS, Math.max(1, Math.round(time))));
   }
 
-  /** Adds gauges that are read whenever somebody asks. */
+  /** Adds gauges that are read each time the metrics are formatted. */
   addGauges(read: () => Readonly<Record<string, number>>): void {
     this.#gauges.push(read);
   }
 
-  /** Writes everything as lines of `name{labels} value`. */
+  /** Formats all metrics as lines of `name{labels} value`. */
   format(): string {
     const lines = [...this.#counters].map(([key, value]) => `${key} ${value}`);
     for (const read of this.#gauges) {
       for (const [key, value] of Object.entries(read())) lines.push(`${key} ${value}`);
     }
-    for (const { name, labels, h } of this.#histograms.values()) {
+    for (const { name, labels, histogram } of this.#histograms.values()) {
       for (const quantile of QUANTILES) {
         const key = formatName(name, { ...labels, quantile: String(quantile / 100) });
-        lines.push(`${key} ${h.percentile(quantile)}`);
+        lines.push(`${key} ${histogram.percentile(quantile)}`);
       }
-      lines.push(`${formatName(`${name}_count`, labels)} ${h.count}`);
+      lines.push(`${formatName(`${name}_count`, labels)} ${histogram.count}`);
     }
     return `${lines.join('\n')}\n`;
   }
--- a/src/platform/kv-store.ts
+++ b/src/platform/kv-store.ts
@@ -1,4 +1,7 @@
-/** The client of the platform's store: each method is one call, and every outcome is a value. */
+/**
+ * The client of the platform's store. Each method makes one call and returns every outcome as a
+ * value.
+ */
 import http from 'node:http';
 import {
   type Address,
@@ -13,25 +16,28 @@
 /** An item of the store. */
 export interface StoredItem {
   readonly key: string;
+  /** The value, decoded as UTF-8. */
   readonly text: string;
   /** The store's revision at the item's last change. */
   readonly revision: number;
 }
 
-/** A change that a watch tells of. */
+/** A change that a watch reports. */
 export type StoreEvent =
   | { readonly kind: 'written'; readonly item: StoredItem }
   | { readonly kind: 'removed'; readonly key: string; readonly revision: number };
 
-/** The store did not do it, for certain: it refused, or the call never left this machine. */
+/** The call was certainly not applied: the store refused it, or it never left this machine. */
 export interface NotApplied {
   readonly kind: 'not-done';
+  /** Describes the refusal or failure, for logs. */
   readonly reason: string;
 }
 
-/** Nobody knows whether the store did it, or will do it within the next seconds. */
+/** It is unknown whether the call was applied, or will be within the next seconds. */
 export interface OutcomeUnknown {
   readonly kind: 'unknown';
+  /** Describes the failure, for logs. */
   readonly reason: string;
 }
 
@@ -41,10 +47,11 @@
   readonly items: readonly StoredItem[];
   /** The revision of the store when the page was read. */
   readonly storeRevision: number;
+  /** Whether there are items after this page. */
   readonly hasMore: boolean;
 }
 
-/** What a watch gives; after `history-gone` the items must be read anew. */
+/** The outcome of a watch. After `history-gone` the items must be read again. */
 export type WatchAnswer =
   | {
       readonly kind: 'events';
@@ -55,85 +62,97 @@
   | NotApplied
   | OutcomeUnknown;
 
-/** What reading one key gives. */
+/** The outcome of reading one key. */
 export type ItemAnswer =
   | { readonly kind: 'item'; readonly item: StoredItem; readonly storeRevision: number }
   | { readonly kind: 'absent' }
   | NotApplied
   | OutcomeUnknown;
 
-/** What a conditional write gives. */
+/** The outcome of a conditional write or removal. */
 export type WriteAnswer =
   | { readonly kind: 'done'; readonly revision: number }
-  /** `current` is what stands there instead; undefined when nothing does. */
+  /** `current` is the stored item; undefined when the key does not exist. */
   | { readonly kind: 'condition-failed'; readonly current: StoredItem | undefined }
   | NotApplied
   | OutcomeUnknown;
 
-/** A write of one key that takes effect only while the key is at `expected`; 0 expects no key. */
+/**
+ * A write of one key that takes effect only while the key is at revision `expected`; 0 means that
+ * it must not exist.
+ */
 export interface ConditionalWrite {
   readonly key: string;
   readonly text: string;
   readonly expected: number;
-  /** The key goes when this lease ends. */
+  /** The store removes the key when this lease ends. */
   readonly lease?: string;
 }
 
-/** A removal of one key that takes effect only while the key is at `expected`. */
+/** A removal of one key that takes effect only while the key is at revision `expected`. */
 export interface ConditionalRemoval {
   readonly key: string;
   readonly expected: number;
 }
 
-/** What asking for a lease, or renewing one, gives; `ttl` is in milliseconds. */
+/** The outcome of granting or renewing a lease; `ttl` is in milliseconds. */
 export type LeaseAnswer =
   | { readonly kind: 'held'; readonly lease: string; readonly ttl: number }
   | { readonly kind: 'lapsed' }
   | NotApplied
   | OutcomeUnknown;
 
-/** The part of the store that tells what it holds. */
+/** The read access to the store. */
 export interface KvReader {
-  /** Reads one key; a `stale` read is cheap and may be seconds old. */
-  readItem(key: string, stale: boolean): Promise<ItemAnswer>;
-  /** Reads one page of keys with a prefix; pages together are no snapshot. */
+  /** Reads one key. A read with `allowStale` is cheap and may be seconds old. */
+  readItem(key: string, allowStale: boolean): Promise<ItemAnswer>;
+  /**
+   * Reads one page of the items whose keys start with `prefix` and come after `after`. Several pages
+   * together are not a consistent snapshot.
+   */
   readItems(
     prefix: string,
     after: string,
-    stale: boolean,
+    allowStale: boolean,
   ): Promise<ItemPage | NotApplied | OutcomeUnknown>;
   /** Waits up to `wait` milliseconds for changes after a revision, or until the signal aborts. */
   watch(prefix: string, after: number, wait: number, signal?: AbortSignal): Promise<WatchAnswer>;
 }
 
-/** The store, as the product uses it. Each method is one call; none retries. */
+/** The client of the store. Each method makes one call; none retries. */
 export interface KvStore extends KvReader {
   write(write: ConditionalWrite): Promise<WriteAnswer>;
   remove(removal: ConditionalRemoval): Promise<WriteAnswer>;
-  /** Asks for a lease that ends `ttl` milliseconds after the call has arrived. */
+  /** Requests a lease that ends `ttl` milliseconds after the call has arrived. */
   grantLease(ttl: number): Promise<LeaseAnswer>;
   renewLease(lease: string): Promise<LeaseAnswer>;
-  /** Calls made since the start, by kind. */
+  /** Returns the number of calls since the start, by kind. */
   counts(): Readonly<Record<string, number>>;
+  /** Closes the connections to the store. */
   close(): void;
 }
 
-/** The name of the store service. */
+/** The key of the store service. */
 export const kvStoreService = createServiceKey<KvStore>('kv-store');
 
 const OK = 200;
-const ABSENT = 404;
+const NOT_FOUND = 404;
 const HISTORY_GONE = 410;
 const CONDITION_FAILED = 412;
 
-/** Statuses by which the store says that it did nothing; 404 of a write names a lease that is over. */
-const REFUSALS = new Set([400, 403, 404, 413, 429, 503]);
+/**
+ * Statuses that mean that the call was not applied; 404 on a write means that its lease has ended.
+ */
+const REFUSED_STATUSES = new Set([400, 403, 404, 413, 429, 503]);
 
 function readFields(value: unknown): JsonObject {
   return isJsonObject(value) ? value : {};
 }
 
-/** Decodes an item; undefined when it names no key or revision. Bytes that are no text give one that fits nothing. */
+/**
+ * Decodes an item; undefined when its key or revision is missing. A value that is not text decodes
+ * to a text that no document accepts.
+ */
 function decodeItem(value: unknown): StoredItem | undefined {
   if (!isJsonObject(value)) return undefined;
   const { key_file: key, value: bytes, revision } = value;
@@ -151,40 +170,43 @@
     : { kind: 'written', item };
 }
 
-/** Decodes a list, leaving out what is none of its items; undefined when it is no list. */
+/** Decodes a list and leaves out invalid entries; undefined when the value is not a list. */
 function decodeList<T>(
   value: unknown,
-  decodeOne: (entry: unknown) => T | undefined,
+  decodeEntry: (entry: unknown) => T | undefined,
 ): readonly T[] | undefined {
   if (!Array.isArray(value)) return undefined;
-  return value.map(decodeOne).filter((entry): entry is T & {} => entry !== undefined);
+  return value.map(decodeEntry).filter((entry): entry is T & {} => entry !== undefined);
 }
 
-const UNREADABLE: OutcomeUnknown = { kind: 'unknown', reason: 'the answer is not in the protocol' };
+const MALFORMED_ANSWER: OutcomeUnknown = {
+  kind: 'unknown',
+  reason: 'the answer does not follow the protocol',
+};
 
-function explainFailure(reply: HttpReply | HttpFailure): NotApplied | OutcomeUnknown {
+function interpretFailure(reply: HttpReply | HttpFailure): NotApplied | OutcomeUnknown {
   if (reply.kind === 'failure') {
     return { kind: reply.sent ? 'unknown' : 'not-done', reason: reply.reason };
   }
   const reason = `status ${reply.status}`;
-  return { kind: REFUSALS.has(reply.status) ? 'not-done' : 'unknown', reason };
+  return { kind: REFUSED_STATUSES.has(reply.status) ? 'not-done' : 'unknown', reason };
 }
 
-function explainWrite(key: string, reply: HttpReply | HttpFailure): WriteAnswer {
+function interpretWrite(key: string, reply: HttpReply | HttpFailure): WriteAnswer {
   if (reply.kind === 'reply' && reply.status === CONDITION_FAILED) {
     const items = decodeList(readFields(reply.body).items, decodeItem);
     return { kind: 'condition-failed', current: items?.find((item) => item.key === key) };
   }
-  if (reply.kind !== 'reply' || reply.status !== OK) return explainFailure(reply);
+  if (reply.kind !== 'reply' || reply.status !== OK) return interpretFailure(reply);
   const { revision } = readFields(reply.body);
-  return typeof revision === 'number' ? { kind: 'done', revision } : UNREADABLE;
+  return typeof revision === 'number' ? { kind: 'done', revision } : MALFORMED_ANSWER;
 }
 
-function explainLease(reply: HttpReply | HttpFailure): LeaseAnswer {
-  if (reply.kind === 'reply' && reply.status === ABSENT) return { kind: 'lapsed' };
-  if (reply.kind !== 'reply' || reply.status !== OK) return explainFailure(reply);
+function interpretLease(reply: HttpReply | HttpFailure): LeaseAnswer {
+  if (reply.kind === 'reply' && reply.status === NOT_FOUND) return { kind: 'lapsed' };
+  if (reply.kind !== 'reply' || reply.status !== OK) return interpretFailure(reply);
   const { lease, ttl_ms: ttl } = readFields(reply.body);
-  if (typeof lease !== 'number' || typeof ttl !== 'number') return UNREADABLE;
+  if (typeof lease !== 'number' || typeof ttl !== 'number') return MALFORMED_ANSWER;
   return { kind: 'held', lease: String(lease), ttl };
 }
 
@@ -198,44 +220,44 @@
 /**
  * Creates the client.
  *
- * @param timeout longest wait for an answer in milliseconds, a watch's wait apart
- * @param maxSockets connections at most; each watch that waits takes one
+ * @param timeout longest wait for an answer, in milliseconds; the wait of a watch is added to it
+ * @param maxSockets maximum number of connections; each waiting watch occupies one
  */
 export function createKvStore(
   address: Address,
   timeout: number,
-  maxSockets = FEW_SOCKETS,
+  maxSockets = DEFAULT_MAX_SOCKETS,
 ): KvStore {
   const agent = new http.Agent({ keepAlive: true, maxSockets, scheduling: 'lifo' });
-  const made: Record<string, number> = {};
+  const callCounts: Record<string, number> = {};
 
   function call(kind: string, path: string, options: CallOptions = {}) {
-    made[kind] = (made[kind] ?? 0) + 1;
+    callCounts[kind] = (callCounts[kind] ?? 0) + 1;
     const { wait = 0, body, signal } = options;
     const method = options.method ?? (body === undefined ? 'GET' : 'POST');
     return exchangeHttp({ agent, address, method, path, body, signal, timeout: timeout + wait });
   }
 
   return {
-    async readItem(key, stale) {
-      const path = `/kv-key?key_file=${encodeURIComponent(key)}${stale ? '&allow_stale=1' : ''}`;
-      const reply = await call(stale ? 'read-stale' : 'read', path);
-      if (reply.kind === 'reply' && reply.status === ABSENT) return { kind: 'absent' };
-      if (reply.kind !== 'reply' || reply.status !== OK) return explainFailure(reply);
+    async readItem(key, allowStale) {
+      const path = `/kv-key?key_file=${encodeURIComponent(key)}${allowStale ? '&allow_stale=1' : ''}`;
+      const reply = await call(allowStale ? 'read-stale' : 'read', path);
+      if (reply.kind === 'reply' && reply.status === NOT_FOUND) return { kind: 'absent' };
+      if (reply.kind !== 'reply' || reply.status !== OK) return interpretFailure(reply);
       const item = decodeItem(reply.body);
       const { store_revision: storeRevision } = readFields(reply.body);
-      if (item === undefined || typeof storeRevision !== 'number') return UNREADABLE;
+      if (item === undefined || typeof storeRevision !== 'number') return MALFORMED_ANSWER;
       return { kind: 'item', item, storeRevision };
     },
-    async readItems(prefix, after, stale) {
+    async readItems(prefix, after, allowStale) {
       const query = new URLSearchParams({ path_prefix: prefix });
       if (after !== '') query.set('after', after);
-      if (stale) query.set('allow_stale', '1');
-      const reply = await call(stale ? 'range-stale' : 'range', `/kv-range?${query}`);
-      if (reply.kind !== 'reply' || reply.status !== OK) return explainFailure(reply);
+      if (allowStale) query.set('allow_stale', '1');
+      const reply = await call(allowStale ? 'range-stale' : 'range', `/kv-range?${query}`);
+      if (reply.kind !== 'reply' || reply.status !== OK) return interpretFailure(reply);
       const { items: listed, truncated, store_revision: storeRevision } = readFields(reply.body);
       const items = decodeList(listed, decodeItem);
-      if (items === undefined || typeof storeRevision !== 'number') return UNREADABLE;
+      if (items === undefined || typeof storeRevision !== 'number') return MALFORMED_ANSWER;
       return { kind: 'items', items, storeRevision, hasMore: truncated === true };
     },
     async watch(prefix, after, wait, signal) {
@@ -244,10 +266,10 @@
       query.set('wait_ms', String(Math.round(wait)));
       const reply = await call('watch', `/kv-watch?${query}`, { wait, signal });
       if (reply.kind === 'reply' && reply.status === HISTORY_GONE) return { kind: 'history-gone' };
-      if (reply.kind !== 'reply' || reply.status !== OK) return explainFailure(reply);
-      const { events: told, store_revision: storeRevision } = readFields(reply.body);
-      const events = decodeList(told, decodeEvent);
-      if (events === undefined || typeof storeRevision !== 'number') return UNREADABLE;
+      if (reply.kind !== 'reply' || reply.status !== OK) return interpretFailure(reply);
+      const { events: listed, store_revision: storeRevision } = readFields(reply.body);
+      const events = decodeList(listed, decodeEvent);
+      if (events === undefined || typeof storeRevision !== 'number') return MALFORMED_ANSWER;
       return { kind: 'events', events, storeRevision };
     },
     async write({ key, text, expected, lease = '0' }) {
@@ -257,27 +279,27 @@
         set_keys: [{ key_file: key, value, lease: Number(lease) }],
         remove: [],
       });
-      return explainWrite(key, await call('write', '/kv-txn', { body }));
+      return interpretWrite(key, await call('write', '/kv-txn', { body }));
     },
     async remove({ key, expected }) {
       const body = JSON.stringify({
         expected_revision: [{ key_file: key, revision: expected }],
         ...{ set_keys: [], remove: [key] },
       });
-      return explainWrite(key, await call('remove', '/kv-txn', { body }));
+      return interpretWrite(key, await call('remove', '/kv-txn', { body }));
     },
     async grantLease(ttl) {
       const body = JSON.stringify({ ttl_ms: Math.round(ttl) });
-      return explainLease(await call('lease', '/kv-lease', { body }));
+      return interpretLease(await call('lease', '/kv-lease', { body }));
     },
     async renewLease(lease) {
       const path = `/kv-keep/${encodeURIComponent(lease)}`;
-      return explainLease(await call('renewal', path, { method: 'POST' }));
+      return interpretLease(await call('renewal', path, { method: 'POST' }));
     },
-    counts: () => ({ ...made }),
+    counts: () => ({ ...callCounts }),
     close: () => agent.destroy(),
   };
 }
 
-/** What a gateway needs: one connection for each prefix that is watched, and some to spare. */
-const FEW_SOCKETS = 4;
+/** Enough for a gateway: one connection for each watched prefix, and some for other calls. */
+const DEFAULT_MAX_SOCKETS = 4;
--- a/src/platform/metered.ts
+++ b/src/platform/metered.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '../kernel/index.js';
 import type { Platform, Unavailable, WriteResult } from './platform.js';
 
-/** The kinds of call that are counted. */
+/** The kinds of calls that are counted. */
 export type CallKind = keyof Platform;
 
 /** Calls made and calls held back since the start. */
@@ -11,8 +11,9 @@
   readonly heldBack: number;
 }
 
-/** A platform whose calls are counted and limited. */
+/** A platform whose calls are counted and rate-limited. */
 export interface MeteredPlatform extends Platform {
+  /** Returns the calls made and held back so far. */
   counts(): PlatformCounts;
 }
 
@@ -20,7 +21,7 @@
 export class TokenBucket {
   #tokens: number;
 
-  #at: number;
+  #refilledAt: number;
 
   constructor(
     private readonly rate: number,
@@ -28,24 +29,33 @@
     private readonly clock: Clock,
   ) {
     this.#tokens = burst;
-    this.#at = clock.now();
+    this.#refilledAt = clock.now();
   }
 
-  /** Takes one token, or another number of them, if that many are there. */
-  take(price = 1): boolean {
+  /** Takes `tokens` tokens if that many are available; returns whether it did. */
+  take(tokens = 1): boolean {
     const now = this.clock.now();
-    this.#tokens = Math.min(this.burst, this.#tokens + ((now - this.#at) / 1000) * this.rate);
-    this.#at = now;
-    if (this.#tokens < price) return false;
-    this.#tokens -= price;
+    this.#tokens = Math.min(
+      this.burst,
+      this.#tokens + ((now - this.#refilledAt) / 1000) * this.rate,
+    );
+    this.#refilledAt = now;
+    if (this.#tokens < tokens) return false;
+    this.#tokens -= tokens;
     return true;
   }
 }
 
-const HELD_BACK: Unavailable = { kind: 'unavailable', reason: 'call budget of this daemon spent' };
+const HELD_BACK: Unavailable = {
+  kind: 'unavailable',
+  reason: 'call budget of this daemon exhausted',
+};
 const REFUSED: WriteResult = { kind: 'refused', reason: HELD_BACK.reason };
 
-/** Wraps a platform so that at most `callsPerSecond` reach it; more fail at once, unsent. */
+/**
+ * Wraps a platform so that at most `callsPerSecond` calls reach it. Calls beyond that fail at once,
+ * unsent.
+ */
 export function createMeteredPlatform(
   inner: Platform,
   callsPerSecond: number,
@@ -57,7 +67,7 @@
     ...{ grantLease: 0, renewLease: 0, watch: 0, vms: 0 },
   };
   let heldBack = 0;
-  const spend = (kind: CallKind): boolean => {
+  const takeCall = (kind: CallKind): boolean => {
     if (!bucket.take()) {
       heldBack += 1;
       return false;
@@ -66,15 +76,15 @@
     return true;
   };
   return {
-    read: async (key) => (spend('read') ? inner.read(key) : HELD_BACK),
-    range: async (prefix) => (spend('range') ? inner.range(prefix) : HELD_BACK),
-    swap: async (swap) => (spend('swap') ? inner.swap(swap) : REFUSED),
-    remove: async (removal) => (spend('remove') ? inner.remove(removal) : REFUSED),
-    grantLease: async (ttl) => (spend('grantLease') ? inner.grantLease(ttl) : HELD_BACK),
-    renewLease: async (lease) => (spend('renewLease') ? inner.renewLease(lease) : HELD_BACK),
+    read: async (key) => (takeCall('read') ? inner.read(key) : HELD_BACK),
+    range: async (prefix) => (takeCall('range') ? inner.range(prefix) : HELD_BACK),
+    swap: async (swap) => (takeCall('swap') ? inner.swap(swap) : REFUSED),
+    remove: async (removal) => (takeCall('remove') ? inner.remove(removal) : REFUSED),
+    grantLease: async (ttl) => (takeCall('grantLease') ? inner.grantLease(ttl) : HELD_BACK),
+    renewLease: async (lease) => (takeCall('renewLease') ? inner.renewLease(lease) : HELD_BACK),
     watch: async (prefix, after, signal) =>
-      spend('watch') ? inner.watch(prefix, after, signal) : HELD_BACK,
-    vms: async () => (spend('vms') ? inner.vms() : HELD_BACK),
+      takeCall('watch') ? inner.watch(prefix, after, signal) : HELD_BACK,
+    vms: async () => (takeCall('vms') ? inner.vms() : HELD_BACK),
     counts: () => ({ made: { ...made }, heldBack }),
   };
 }
--- a/src/settings/entry.ts
+++ b/src/settings/entry.ts
@@ -1,4 +1,7 @@
-/** The settings of an entry daemon: where it listens, its failure domain, whom it talks to. */
+/**
+ * The settings of an entry daemon: its listeners, its failure domain, its connections to other
+ * services.
+ */
 import { type Either, Left, Right } from 'purify-ts';
 import { LOG_LEVELS } from '../kernel/index.js';
 import { type SectionValues, checkSettingsFile } from './file.js';
@@ -91,14 +94,14 @@
 /** The checked settings of an entry daemon. */
 export type EntrySettings = SectionValues<typeof entrySections>;
 
-const MIN_SECRET = 16;
+const MIN_SECRET_LENGTH = 16;
 
-function checkMeaning(file: string, settings: EntrySettings): readonly Mistake[] {
+function checkConsistency(file: string, settings: EntrySettings): readonly Mistake[] {
   const mistakes: Mistake[] = [];
   const report = (what: string, expected: string) =>
     mistakes.push({ file, line: 0, what, expected });
-  if (settings.security.peer_secret.length < MIN_SECRET) {
-    report('[security] peer_secret is too short', `at least ${MIN_SECRET} characters`);
+  if (settings.security.peer_secret.length < MIN_SECRET_LENGTH) {
+    report('[security] peer_secret is too short', `at least ${MIN_SECRET_LENGTH} characters`);
   }
   for (const side of ['admin', 'callers'] as const) {
     const cert = settings.security[`${side}_cert`];
@@ -108,20 +111,20 @@
     }
   }
   const { peers_cert: cert, peers_key: key, peers_ca: ca } = settings.security;
-  const given = [cert, key, ca].filter((path) => path !== '').length;
-  if (given !== 0 && given !== 3) {
+  const givenCount = [cert, key, ca].filter((path) => path !== '').length;
+  if (givenCount !== 0 && givenCount !== 3) {
     report('[security] has only some of peers_cert, peers_key, peers_ca', 'all or none');
   }
   return mistakes;
 }
 
-/** Checks the text of a settings file; all mistakes of the file come together. */
+/** Checks the text of a settings file and reports all mistakes at once. */
 export function checkEntrySettings(
   file: string,
   text: string,
 ): Either<readonly Mistake[], EntrySettings> {
   return checkSettingsFile(file, text, entrySections).chain((settings) => {
-    const meaning = checkMeaning(file, settings);
-    return meaning.length > 0 ? Left(meaning) : Right(settings);
+    const mistakes = checkConsistency(file, settings);
+    return mistakes.length > 0 ? Left(mistakes) : Right(settings);
   });
 }
--- a/src/settings/file.ts
+++ b/src/settings/file.ts
@@ -12,7 +12,9 @@
   readonly [N in keyof S]: FieldValues<S[N]>;
 };
 
-/** Checks the text of a file; all its mistakes come together. A section that is absent has its defaults. */
+/**
+ * Checks the text of a file and reports all mistakes at once. A missing section gets its defaults.
+ */
 export function checkSettingsFile<S extends Sections>(
   file: string,
   text: string,
@@ -28,9 +30,9 @@
   }
   const checked: Record<string, unknown> = {};
   for (const [name, fields] of Object.entries(sections)) {
-    const found = ini.sections.find((section) => section.name === name);
-    checkSection(file, found ?? { name, line: 0, entries: [] }, fields)
-      .ifLeft((more) => mistakes.push(...more))
+    const section = ini.sections.find((candidate) => candidate.name === name);
+    checkSection(file, section ?? { name, line: 0, entries: [] }, fields)
+      .ifLeft((found) => mistakes.push(...found))
       .ifRight((values) => {
         checked[name] = values;
       });
--- a/test/strange.test.ts
+++ b/test/strange.test.ts
@@ -1,4 +1,7 @@
-/** What comes from others may be anything: it costs its sender, or the one entry, and nothing else. */
+/**
+ * Input from other processes may be anything. It must affect only its sender, or the one entry, and
+ * nothing else.
+ */
 import http from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { expect } from 'chai';
@@ -17,27 +20,27 @@
 import { StoreReader } from '../src/view/index.js';
 import { createTargets, createView } from './helpers/targets.js';
 
-/** A watch to which nothing comes. */
-const waitForever = new Promise<WatchAnswer>(() => {});
+/** A watch that never reports a change. */
+const pendingWatch = new Promise<WatchAnswer>(() => {});
 
 const RUNS = { numRuns: 400, seed: 11 };
 const ADDRESS = { host: '10.0.0.1', port: 80 };
-const GOOD = JSON.parse(writeTarget(ADDRESS)) as Readonly<Record<string, unknown>>;
+const VALID_RECORD = JSON.parse(writeTarget(ADDRESS)) as Readonly<Record<string, unknown>>;
 
-/** Replaces one leaf or branch of a document by something else. */
-const anyMutant = fc
+/** Replaces one field or nested field of a document by an arbitrary value. */
+const arbitraryRecord = fc
   .tuple(fc.constantFrom('address', 'info', 'status', 'born', 'x'), fc.anything(), fc.nat(3))
   .map(([field, value, inner]) => {
-    const branch = GOOD[field];
+    const branch = VALID_RECORD[field];
     if (inner === 0 || typeof branch !== 'object' || branch === null) {
-      return { ...GOOD, [field]: value };
+      return { ...VALID_RECORD, [field]: value };
     }
     const names = Object.keys(branch);
-    return { ...GOOD, [field]: { ...branch, [names[inner % names.length] ?? 'y']: value } };
+    return { ...VALID_RECORD, [field]: { ...branch, [names[inner % names.length] ?? 'y']: value } };
   });
 
-describe('an entry that anybody may have written', () => {
-  it('gives a target that can be used, or a fault; whatever the bytes', () => {
+describe('the record of a target with arbitrary content', () => {
+  it('decodes to a valid target or to a fault, whatever the bytes', () => {
     const check = (text: string) => {
       const record = decodeTarget('i-1', text);
       if ('kind' in record) return;
@@ -50,11 +53,11 @@
     fc.assert(fc.property(fc.string(), check), RUNS);
     fc.assert(fc.property(fc.json(), check), RUNS);
     fc.assert(
-      fc.property(anyMutant, (document) => {
+      fc.property(arbitraryRecord, (document) => {
         try {
           check(JSON.stringify(document));
         } catch (error) {
-          // What can't be written as JSON can't stand in the store either.
+          // A value that can't be written as JSON can't be in the store either.
           if (!(error instanceof TypeError)) throw error;
         }
       }),
@@ -62,7 +65,7 @@
     );
   });
   for (const [what, change] of Object.entries({
-    'a state that is not named': { status: { state: 'odd', seq: 1 } },
+    'an unknown state': { status: { state: 'odd', seq: 1 } },
     'no status': { status: undefined },
     'slots as a text': { info: { service: 'alpha', zone: 'd1', slots: '4' } },
     'no slots': { info: { service: 'alpha', zone: 'd1', slots: 0 } },
@@ -70,8 +73,8 @@
     'a start as a text': { born: '1771688619032' },
     'no address': { address: 7 },
   })) {
-    it(`names no target with ${what}`, () => {
-      expect(decodeTarget('i-1', JSON.stringify({ ...GOOD, ...change }))).to.have.property(
+    it(`decodes to a fault with ${what}`, () => {
+      expect(decodeTarget('i-1', JSON.stringify({ ...VALID_RECORD, ...change }))).to.have.property(
         'kind',
         'fault',
       );
@@ -79,8 +82,8 @@
   }
 });
 
-describe('one bad entry among good ones', () => {
-  it('is told once, names no target, and counts again when it is good', async () => {
+describe('one undecodable entry among valid ones', () => {
+  it('is logged once, gives no target, and gives one again when it is valid', async () => {
     const clock = new ManualClock();
     const view = createView();
     const lines: LogFields[] = [];
@@ -96,7 +99,7 @@
       const item = { key: `${KEYS.targets}i-2`, text, revision };
       return { kind: 'events', events: [{ kind: 'written', item }], storeRevision: revision };
     });
-    const known: number[] = [];
+    const targetCounts: number[] = [];
     const reader = new StoreReader({
       ...{
         view,
@@ -112,37 +115,37 @@
         readItems: () =>
           Promise.resolve({ kind: 'items', items, storeRevision: 10, hasMore: false }),
         watch: (prefix) => {
-          known.push(view.listTargets().length);
+          targetCounts.push(view.listTargets().length);
           const next = prefix === KEYS.all ? answers.shift() : undefined;
-          return next === undefined ? waitForever : Promise.resolve(next);
+          return next === undefined ? pendingWatch : Promise.resolve(next);
         },
       },
     });
-    const ends = new AbortController();
-    reader.run(ends.signal).catch(() => undefined);
+    const abort = new AbortController();
+    reader.run(abort.signal).catch(() => undefined);
     for (let round = 0; round < 10; round += 1) await clock.advance(250);
-    ends.abort();
-    expect(known).to.deep.equal([2, 1, 1, 2]);
+    abort.abort();
+    expect(targetCounts).to.deep.equal([2, 1, 1, 2]);
     expect(lines.filter(({ incarnation }) => incarnation === 'i-2')).to.have.length(1);
     expect(reader.unreadableCount).to.equal(0);
   });
 });
 
-describe('a target that started again under its name', () => {
+describe('a target that restarted under the same identifier', () => {
   const record = {
     ...{ incarnation: 'i-1', service: 'alpha', address: ADDRESS, domain: 'd1', slots: 4 },
     ...{ state: 'ready' as const, coldLeft: 0, born: 1000 },
   };
-  it('is the later one, in whatever order the news come', () => {
+  it('counts as the later run, in whatever order its changes arrive', () => {
     const view = createView();
     view.putTarget({ ...record, born: 2000 }, 5, 0);
-    // A late word of the earlier start, with a later revision.
+    // A late update by the earlier run, with a later revision.
     view.putTarget({ ...record, state: 'draining' }, 6, 0);
     expect(view.listTargets()[0].record).to.include({ born: 2000, state: 'ready' });
     view.putTarget({ ...record, born: 3000 }, 7, 0);
     expect(view.listTargets()[0].record.born).to.equal(3000);
   });
-  it('has no calls, slowness, failures or connections of the earlier one', () => {
+  it('has no calls, slowdown, failures or connections of the earlier run', () => {
     const view = createView();
     const clock = new ManualClock();
     const targets = createTargets(clock);
@@ -160,11 +163,11 @@
     expect(after?.load.lastSlowdown).to.equal(1);
     expect(after?.failures.read(0)).to.equal(0);
     expect(after?.isUsable).to.equal(true);
-    // What other daemons still tell of the earlier start is not taken for the later one.
+    // Reports of other daemons about the earlier run are not taken for the later one.
     expect(targets.findByHash(before?.hash ?? 0)).to.equal(undefined);
     expect(targets.findByHash(after?.hash ?? 0)).to.equal(after);
   });
-  it('is told on as a change, and not undone by a daemon that knows the earlier one', () => {
+  it('is passed on as a change, and not undone by a daemon that knows the earlier run', () => {
     const [one, other] = [createView(), createView()];
     one.putTarget(record, 5, 0);
     other.applyDelta(one.diffSince(other.position, 0), 0);
@@ -187,7 +190,7 @@
   });
   after(() => server.close());
 
-  it('are outcomes, never errors', async () => {
+  it('are returned as outcomes and never throw', async () => {
     const { port } = server.address() as AddressInfo;
     const store = createKvStore({ host: '127.0.0.1', port }, 500);
     await fc.assert(
@@ -213,34 +216,37 @@
   });
 });
 
-describe('what other daemons send', () => {
-  it('is taken whole or not at all, as a feed', () => {
+describe('messages of other daemons', () => {
+  it('are applied as a whole or not at all when they are a feed', () => {
     const view = createView();
     const record = decodeTarget('i-1', writeTarget(ADDRESS));
     if ('kind' in record) throw new Error('expected a record');
     view.putTarget(record, 5, 0);
     const delta = view.diffSince({ targets: 0, configuration: 0, evacuations: 0 }, 0);
-    const good = JSON.parse(JSON.stringify({ delta, members: [] })) as {
+    const validAnswer = JSON.parse(JSON.stringify({ delta, members: [] })) as {
       readonly delta: Readonly<Record<string, unknown>>;
     };
-    expect(parseFeedResponse(good)).to.deep.equal(good);
-    const fields = [...Object.keys(good.delta), 'configuration'];
+    expect(parseFeedResponse(validAnswer)).to.deep.equal(validAnswer);
+    const fields = [...Object.keys(validAnswer.delta), 'configuration'];
     fc.assert(
       fc.property(fc.constantFrom(...fields), fc.jsonValue(), (field, value) => {
-        const answer = parseFeedResponse({ ...good, delta: { ...good.delta, [field]: value } });
+        const answer = parseFeedResponse({
+          ...validAnswer,
+          delta: { ...validAnswer.delta, [field]: value },
+        });
         if (answer !== undefined) createView().applyDelta(answer.delta, 0);
       }),
       RUNS,
     );
     fc.assert(
       fc.property(fc.jsonValue(), (value) => {
-        expect(parseFeedResponse({ ...good, members: [value] })).to.equal(undefined);
+        expect(parseFeedResponse({ ...validAnswer, members: [value] })).to.equal(undefined);
         expect(parseFeedResponse(value)).to.equal(undefined);
       }),
       RUNS,
     );
   });
-  it('is dropped as a datagram, whichever byte is off', () => {
+  it('are dropped without an error when any byte of a datagram is wrong', () => {
     const self = { domain: 'd1', capacity: 1, isSenior: true, state: 'ready' as const };
     const bytes = encodeDatagram({
       ...{ kind: 'tell', self: { ...self, utilisation: 0.1, pollers: 3 } },
@@ -254,16 +260,16 @@
     });
     fc.assert(
       fc.property(fc.nat(bytes.length - 1), fc.nat(255), (at, value) => {
-        const spoilt = Uint8Array.from(bytes);
-        spoilt[at] = value;
-        expect(() => decodeDatagram(spoilt)).to.not.throw();
+        const corrupted = Uint8Array.from(bytes);
+        corrupted[at] = value;
+        expect(() => decodeDatagram(corrupted)).to.not.throw();
       }),
       RUNS,
     );
   });
 });
 
-describe('questions for addresses', () => {
+describe('lookups of addresses', () => {
   it('get an answer, whatever the path', async () => {
     const server = await serveDirectory(
       { host: '127.0.0.1', port: 0 },
@@ -271,7 +277,7 @@
       () => 1000,
     );
     const { port } = server.address() as AddressInfo;
-    const ask = (path: string) =>
+    const request = (path: string) =>
       new Promise<number>((resolve, reject) => {
         http
           .get({ host: '127.0.0.1', port, path, agent: false }, (response) => {
@@ -283,11 +289,11 @@
     const paths = fc.string({ unit: fc.constantFrom(...'/?%&=:@[]#a1') }).map((text) => `/${text}`);
     await fc.assert(
       fc.asyncProperty(paths, async (path) => {
-        expect(await ask(path)).to.be.oneOf([400, 404]);
+        expect(await request(path)).to.be.oneOf([400, 404]);
       }),
       { numRuns: 150, seed: 7 },
     );
-    expect(await ask('/resolve?name=%ff&zone=%zz')).to.equal(200);
+    expect(await request('/resolve?name=%ff&zone=%zz')).to.equal(200);
     server.close();
   });
 });
--- a/test/turns.test.ts
+++ b/test/turns.test.ts
@@ -2,7 +2,7 @@
 import { EventLoopMonitor } from '../src/gateway/event-loop-monitor.js';
 import { type Log, type LogFields, ManualClock, TextMetrics } from '../src/kernel/index.js';
 
-/** An event loop that is moved by hand. */
+/** An event loop whose iterations and idle times the test controls. */
 class Loop {
   readonly clock = new ManualClock();
 
@@ -12,14 +12,14 @@
 
   #ends: (() => void)[] = [];
 
-  readonly watch: EventLoopMonitor;
+  readonly monitor: EventLoopMonitor;
 
   readonly log: Log;
 
   constructor() {
     const write = (event: string, fields: LogFields = {}) => this.lines.push({ event, fields });
     this.log = { debug: write, info: write, warn: write, error: write };
-    this.watch = new EventLoopMonitor({
+    this.monitor = new EventLoopMonitor({
       ...{ clock: this.clock, metrics: new TextMetrics(), log: this.log, listenQueue: 4 },
       source: {
         readIdleMs: () => this.#idle,
@@ -28,7 +28,7 @@
     });
   }
 
-  async wait(time: number): Promise<void> {
+  async idle(time: number): Promise<void> {
     this.#idle += time;
     await this.clock.advance(time);
   }
@@ -37,93 +37,93 @@
     return this.clock.advance(time);
   }
 
-  endTurn(): void {
+  endIteration(): void {
     const ends = this.#ends;
     this.#ends = [];
     for (const end of ends) end();
   }
 }
 
-describe('how long a request lay unread', () => {
+describe('the estimated arrival time of a request', () => {
   let loop: Loop;
 
   beforeEach(() => {
     loop = new Loop();
   });
 
-  it('is nothing where the loop had waited for it', async () => {
-    loop.watch.estimateArrival();
-    loop.endTurn();
-    await loop.wait(50);
-    expect(loop.watch.estimateArrival()).to.equal(50);
+  it('is the current time when the loop was idle until then', async () => {
+    loop.monitor.estimateArrival();
+    loop.endIteration();
+    await loop.idle(50);
+    expect(loop.monitor.estimateArrival()).to.equal(50);
   });
-  it('is what was worked in this turn before it, at most', async () => {
-    await loop.wait(50);
-    loop.watch.estimateArrival();
+  it('goes back at most to the start of this iteration after an idle period', async () => {
+    await loop.idle(50);
+    loop.monitor.estimateArrival();
     await loop.work(40);
-    expect(loop.watch.estimateArrival()).to.equal(70);
+    expect(loop.monitor.estimateArrival()).to.equal(70);
   });
-  it('begins with the turn before, where the loop has not waited since', async () => {
-    await loop.wait(50);
-    loop.watch.estimateArrival();
+  it('goes back to the previous poll when the loop has not been idle since', async () => {
+    await loop.idle(50);
+    loop.monitor.estimateArrival();
     await loop.work(400);
-    loop.endTurn();
-    expect(loop.watch.estimateArrival()).to.equal(250);
+    loop.endIteration();
+    expect(loop.monitor.estimateArrival()).to.equal(250);
     await loop.work(100);
-    loop.endTurn();
-    // Looked at 450 for the last time before this turn.
-    expect(loop.watch.estimateArrival()).to.equal(500);
+    loop.endIteration();
+    // The last poll before this iteration was at 450.
+    expect(loop.monitor.estimateArrival()).to.equal(500);
   });
-  it('reaches back to a connection that was not looked at since it was accepted', async () => {
-    await loop.wait(50);
-    loop.watch.estimateArrival();
+  it('goes back to the accept of a connection that has not been read since', async () => {
+    await loop.idle(50);
+    loop.monitor.estimateArrival();
     await loop.work(400);
-    loop.endTurn();
-    const accepted = loop.watch.recordAccept();
+    loop.endIteration();
+    const accepted = loop.monitor.recordAccept();
     await loop.work(300);
-    loop.endTurn();
-    expect(loop.watch.estimateArrival(accepted)).to.equal((50 + 750) / 2);
-    expect(loop.watch.estimateArrival()).to.equal((450 + 750) / 2);
+    loop.endIteration();
+    expect(loop.monitor.estimateArrival(accepted)).to.equal((50 + 750) / 2);
+    expect(loop.monitor.estimateArrival()).to.equal((450 + 750) / 2);
   });
-  it('reaches back to the first of the turns that each accepted one', async () => {
-    for (let turn = 0; turn < 3; turn += 1) {
-      loop.watch.recordAccept();
+  it('goes back to the first of the iterations that each accepted a connection', async () => {
+    for (let iteration = 0; iteration < 3; iteration += 1) {
+      loop.monitor.recordAccept();
       await loop.work(100);
-      loop.endTurn();
+      loop.endIteration();
     }
-    const accepted = loop.watch.recordAccept();
-    expect(loop.watch.estimateArrival(accepted)).to.equal(150);
-    loop.endTurn();
-    // A turn without one shows that none waits.
-    loop.endTurn();
-    await loop.wait(10);
-    expect(loop.watch.recordAccept().earliest).to.equal(310);
+    const accepted = loop.monitor.recordAccept();
+    expect(loop.monitor.estimateArrival(accepted)).to.equal(150);
+    loop.endIteration();
+    // An iteration without an accept shows that no connection is waiting.
+    loop.endIteration();
+    await loop.idle(10);
+    expect(loop.monitor.recordAccept().earliest).to.equal(310);
   });
-  it('is no longer than as many as may wait took before it', async () => {
-    for (let turn = 0; turn < 10; turn += 1) {
-      loop.watch.recordAccept();
+  it('goes back at most to the accept that lies a full listen queue ago', async () => {
+    for (let iteration = 0; iteration < 10; iteration += 1) {
+      loop.monitor.recordAccept();
       await loop.work(100);
-      loop.endTurn();
+      loop.endIteration();
     }
-    expect(loop.watch.recordAccept().earliest).to.equal(600);
+    expect(loop.monitor.recordAccept().earliest).to.equal(600);
   });
-  it('does not reach back to the accepting once the loop has waited', async () => {
-    const accepted = loop.watch.recordAccept();
-    loop.endTurn();
-    await loop.wait(16);
-    expect(loop.watch.estimateArrival(accepted)).to.equal(16);
+  it('does not go back to the accept once the loop has been idle', async () => {
+    const accepted = loop.monitor.recordAccept();
+    loop.endIteration();
+    await loop.idle(16);
+    expect(loop.monitor.estimateArrival(accepted)).to.equal(16);
   });
-  it('is never before the start', () => {
-    expect(loop.watch.estimateArrival()).to.equal(0);
+  it('is never before the start of the monitor', () => {
+    expect(loop.monitor.estimateArrival()).to.equal(0);
   });
 });
 
 describe('the lag of the event loop', () => {
-  it('is told when work that was due ran late, and when connections may have waited', async () => {
+  it('is logged when a timer ran late, and when connections may have waited to be accepted', async () => {
     const loop = new Loop();
     const { clock } = loop;
     const sleeps = [100, 190];
-    const late = new EventLoopMonitor({
+    const lateMonitor = new EventLoopMonitor({
       ...{ metrics: new TextMetrics(), log: loop.log, listenQueue: 4 },
       clock: {
         ...{ now: () => clock.now(), wall: () => clock.wall() },
@@ -132,35 +132,35 @@
       },
       source: { readIdleMs: () => 0, scheduleAfterIteration: () => undefined },
     });
-    const ends = new AbortController();
-    const running = late.run(ends.signal);
+    const abort = new AbortController();
+    const running = lateMonitor.run(abort.signal);
     await clock.advance(290);
     expect(loop.lines).to.deep.equal([{ event: 'loop.late', fields: { lag: 90 } }]);
-    late.recordAccept();
+    lateMonitor.recordAccept();
     await clock.advance(100);
     expect(loop.lines.at(-1)).to.deep.equal({ event: 'accept.late', fields: { run: 390 } });
-    ends.abort();
+    abort.abort();
     await running;
   });
 });
 
-describe('callers whose wait nothing tells', () => {
-  it('may come for some seconds after more connections than may wait', async () => {
+describe('a listen queue that was full', () => {
+  it('is reported for some seconds, while callers with an unknown waiting time may arrive', async () => {
     const loop = new Loop();
     for (let count = 0; count < 3; count += 1) {
-      loop.watch.recordAccept();
+      loop.monitor.recordAccept();
       await loop.work(1);
-      loop.endTurn();
+      loop.endIteration();
     }
-    expect(loop.watch.hasRecentListenOverflow).to.equal(false);
-    loop.watch.recordAccept();
-    expect(loop.watch.hasRecentListenOverflow).to.equal(true);
-    loop.endTurn();
-    loop.endTurn();
-    await loop.wait(7000);
-    expect(loop.watch.hasRecentListenOverflow).to.equal(true);
-    await loop.wait(1000);
-    loop.watch.recordAccept();
-    expect(loop.watch.hasRecentListenOverflow).to.equal(false);
+    expect(loop.monitor.hasRecentListenOverflow).to.equal(false);
+    loop.monitor.recordAccept();
+    expect(loop.monitor.hasRecentListenOverflow).to.equal(true);
+    loop.endIteration();
+    loop.endIteration();
+    await loop.idle(7000);
+    expect(loop.monitor.hasRecentListenOverflow).to.equal(true);
+    await loop.idle(1000);
+    loop.monitor.recordAccept();
+    expect(loop.monitor.hasRecentListenOverflow).to.equal(false);
   });
 });
