--- a/src/gateway/fleet/knowledge-exchange.ts
+++ b/src/gateway/fleet/knowledge-exchange.ts
@@ -18,7 +18,7 @@
   readonly view: FleetView;
   readonly roster: Roster;
   readonly reader: Pick<StoreReader, 'lastReadAt'>;
-  readonly duty: ReaderRole;
+  readonly readerRole: ReaderRole;
   readonly feed: FeedClient;
   /** Requests under which targets ended, as far as others are to know of them. */
   readonly listPoisonReports: () => readonly PoisonReport[];
@@ -45,7 +45,7 @@
 
   /** Takes what another daemon knows, and fetches it when it is more. */
   async receive(from: MemberInfo, knowledge: Knowledge): Promise<void> {
-    const { clock, self, view, roster, duty, feed } = this.options;
+    const { clock, self, view, roster, readerRole: duty, feed } = this.options;
     duty.recordAnswer();
     if (this.#isPlanFrom(from.ip)) roster.setDesiredHomes(knowledge.desiredHomes);
     const now = clock.now();
@@ -72,7 +72,7 @@
 
   /** The last reading of the store by a daemon itself, be it this one or another. */
   #findReading(): StoreRead | undefined {
-    const { clock, self, reader, duty } = this.options;
+    const { clock, self, reader, readerRole: duty } = this.options;
     const { lastRemoteRead: told } = duty;
     const now = clock.now();
     const { lastReadAt: readAt } = reader;
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -287,7 +287,7 @@
     this.#exchange = new KnowledgeExchange({
       ...{ clock, self: gateway.ip, view: this.#view, roster: this.#roster, reader: this.#reader },
       ...{
-        duty: this.#duty,
+        readerRole: this.#duty,
         feed: this.#feed,
         listPoisonReports: () => this.#poison.listReports(),
       },
--- a/src/gateway/requests/forwarding.ts
+++ b/src/gateway/requests/forwarding.ts
@@ -436,7 +436,7 @@
     const { service } = this.request;
     const now = clock.now();
     const { load: belief, record, slowdownHistory: trail } = attempt.target;
-    const pattern = service.readPattern();
+    const pattern = service.readSlowdownParameters();
     const slowdown = trail.estimate(attempt.startedAt, pattern);
     const time = now - attempt.startedAt;
     const usual = routeTime.readWork();
@@ -494,7 +494,7 @@
     if (this.#sendings >= route.maxAttempts || this.#care !== undefined) return;
     const now = clock.now();
     const { slowdownHistory: trail } = attempt.target;
-    const pattern = service.readPattern();
+    const pattern = service.readSlowdownParameters();
     const work = routeTime.readWork();
     const first: FirstAttempt = {
       ...{ work, elapsed: now - attempt.startedAt },
--- a/src/gateway/targets/local-rate-limits.ts
+++ b/src/gateway/targets/local-rate-limits.ts
@@ -39,14 +39,14 @@
   /** Whether a target has had what it takes from here. */
   isExhausted(target: GatewayTarget): boolean {
     const rate = this.read(target);
-    return rate < Infinity && !target.rateBucket.maySend(this.options.clock.now(), rate);
+    return rate < Infinity && !target.rateLimiter.maySend(this.options.clock.now(), rate);
   }
 
   /** Calls a second that a target may get from here; Infinity where nothing limits it. */
   read(target: GatewayTarget): number {
     const now = this.options.clock.now();
     const named = target.advertisedRate.read(now);
-    const isCold = target.warmth.isCold(now);
+    const isCold = target.warmUp.isCold(now);
     const risen = target.availability.readRampRate(now);
     if (named === undefined && risen === undefined && !isCold) return Infinity;
     const share = this.#readShare(now);
--- a/src/gateway/targets/prober.ts
+++ b/src/gateway/targets/prober.ts
@@ -175,7 +175,7 @@
    */
   #readInterval(service: TargetService): number {
     const { interval } = this.options;
-    const { life } = service.readPattern();
+    const { life } = service.readSlowdownParameters();
     const wanted = Math.min(interval, service.readWork(interval) * REPORT_AGE, life * LIFE_PART);
     return Math.max(LEAST_INTERVAL, this.#isHurried(service) ? wanted / 2 : wanted);
   }
@@ -282,7 +282,7 @@
     return isMine || age >= interval * STAND_IN_FACTOR;
   }
 
-  #mayHaveTurnedCold({ recentSends: sent, warmth }: GatewayTarget): boolean {
+  #mayHaveTurnedCold({ recentSends: sent, warmUp: warmth }: GatewayTarget): boolean {
     const now = this.options.clock.now();
     return sent.count(now) >= BUSY_CALLS && now - warmth.reportedAt >= WARMTH_AGE;
   }
--- a/src/gateway/targets/target-service.ts
+++ b/src/gateway/targets/target-service.ts
@@ -113,7 +113,7 @@
   }
 
   /** How slow the service's targets are, and for how long one stays so. */
-  readPattern(): SlowdownParameters {
+  readSlowdownParameters(): SlowdownParameters {
     return this.slowdownModel.read(this.options.clock.now());
   }
 
@@ -125,7 +125,7 @@
   /** What others may start from; undefined before enough was seen here. */
   readLearnedState(): LearnedServiceState | undefined {
     if (!this.slowdownModel.hasEnoughSamples) return undefined;
-    return { ...this.readPattern(), knee: this.knee.readFactor() };
+    return { ...this.readSlowdownParameters(), knee: this.knee.readFactor() };
   }
 
   /** Takes what others have learnt, until enough was seen here. */
@@ -280,7 +280,13 @@
     const drawn = drawCandidates(this.#readPool(), { random, isUsable });
     const homes = this.options.countHomes();
     const reportingHomes = this.options.countReportingHomes();
-    const terms = { pattern: this.readPattern(), domain, homes, reportingHomes, knee: this.knee };
+    const terms = {
+      pattern: this.readSlowdownParameters(),
+      domain,
+      homes,
+      reportingHomes,
+      knee: this.knee,
+    };
     return chooseTarget(drawn, (target) => target.createCandidateLoad(terms), {
       ...{
         callsAhead: ahead,
--- a/src/gateway/targets/target-set.ts
+++ b/src/gateway/targets/target-set.ts
@@ -96,7 +96,7 @@
         if (known.record.domain !== entry.record.domain) service.noteChange();
         // Nobody asked it meanwhile, and it may have turned cold.
         if (known.isEvacuated && !isEvacuated) {
-          known.warmth.suspectCold(this.options.clock.now() + this.#readColdTime(service));
+          known.warmUp.suspectCold(this.options.clock.now() + this.#readColdTime(service));
         }
         known.update(entry, isEvacuated);
         continue;
--- a/src/gateway/targets/target.ts
+++ b/src/gateway/targets/target.ts
@@ -104,10 +104,10 @@
   readonly slowdownHistory: SlowdownHistory;
 
   /** Until when it is cold, as far as is known. */
-  readonly warmth = new WarmUpState();
+  readonly warmUp = new WarmUpState();
 
   /** What came of its calls of late. */
-  readonly failures = new FailureRate();
+  readonly failureRate = new FailureRate();
 
   /** The rate that it has said it takes. */
   readonly advertisedRate = new AdvertisedRate();
@@ -116,7 +116,7 @@
   readonly availability: Availability;
 
   /** What this daemon may send there while all of them keep to a rate. */
-  readonly rateBucket = new RateLimiter();
+  readonly rateLimiter = new RateLimiter();
 
   /** Calls that were sent there of late. */
   readonly recentSends = new SendCounter();
@@ -160,7 +160,7 @@
     const { slowdownModel: memory, onConnectionOpened: onOpened, availability: standing } = options;
     this.availability = standing;
     this.#listed = listed;
-    this.warmth.suspectCold(listed.coldUntil);
+    this.warmUp.suspectCold(listed.coldUntil);
     this.slowdownHistory = new SlowdownHistory(memory);
     this.hash = hashIncarnation(listed.record.incarnation, listed.record.born);
     this.connections = new TargetConnections(listed.record.address, clock, onOpened);
@@ -227,7 +227,7 @@
    * @param isEvacuated whether its failure domain takes no calls
    */
   update(listed: ListedTarget, isEvacuated: boolean): void {
-    if (listed.coldUntil !== this.#listed.coldUntil) this.warmth.suspectCold(listed.coldUntil);
+    if (listed.coldUntil !== this.#listed.coldUntil) this.warmUp.suspectCold(listed.coldUntil);
     this.#listed = listed;
     this.#isEvacuated = isEvacuated;
   }
@@ -246,7 +246,7 @@
   start(now: number): void {
     this.load.start(now);
     this.recentSends.record(now);
-    this.rateBucket.take();
+    this.rateLimiter.take();
   }
 
   /** Views the target for the choice. */
@@ -262,8 +262,8 @@
       slots: knee.findConcurrencyLimit(this.record.slots),
       calls: this.load.countCalls(now, homes, tellers),
       slowdown: this.slowdownHistory.estimate(now, pattern),
-      coldFactor: this.warmth.isCold(now) ? COLD_FACTOR : 1,
-      failureRatio: this.failures.read(now),
+      coldFactor: this.warmUp.isCold(now) ? COLD_FACTOR : 1,
+      failureRatio: this.failureRate.read(now),
       // What runs beside a suspect may end with it, so others go elsewhere while there is room.
       isSuspect: this.#ill || now < this.#stuckUntil || this.suspectCalls > 0,
       isOtherDomain: this.record.domain !== domain,
@@ -273,12 +273,12 @@
   /** Notes that a call failed there; where the target has asked for a back-off, that alone keeps calls away. */
   recordFailure(): void {
     if (this.availability.isBackedOff(this.clock.now())) return;
-    this.failures.recordFailure(this.clock.now());
+    this.failureRate.recordFailure(this.clock.now());
   }
 
   /** Notes that a call was answered well there. */
   recordSuccess(): void {
-    this.failures.recordSuccess(this.clock.now());
+    this.failureRate.recordSuccess(this.clock.now());
   }
 
   /** Notes that a call has been there for far too long. */
@@ -318,7 +318,7 @@
       return;
     }
     const now = this.clock.now();
-    if (report.coldLeft !== undefined) this.warmth.observe(report.coldLeft, now);
+    if (report.coldLeft !== undefined) this.warmUp.observe(report.coldLeft, now);
     this.recordLoad(report.load, own);
     if (isGood || report.rate.kind !== 'silent') this.#noteRate(report.rate, askedAt);
     this.receiveDraining(report.draining);
--- a/test/helpers/news-fleet.ts
+++ b/test/helpers/news-fleet.ts
@@ -176,7 +176,7 @@
       getWatchTimeout: () => fleet.times.watchTimeout,
     });
     this.#exchange = new KnowledgeExchange({
-      ...{ clock, self: ip, view, roster: this.roster, reader: this.#reader, duty },
+      ...{ clock, self: ip, view, roster: this.roster, reader: this.#reader, readerRole: duty },
       feed: {
         fetchChanges: (from: string, question: FeedRequest) => fleet.fetch(this, from, question),
         fetchMembers: () => Promise.resolve(true),
--- a/test/lessons.test.ts
+++ b/test/lessons.test.ts
@@ -158,13 +158,13 @@
       ...LESSONS.services,
       late: { ...LESSONS.services.alpha, life: 900 },
     });
-    expect(targets.getService('alpha').readPattern()).to.deep.equal({
+    expect(targets.getService('alpha').readSlowdownParameters()).to.deep.equal({
       mean: 2,
       slow: 5,
       life: 150,
     });
     expect(targets.getService('alpha').knee.findConcurrencyLimit(6)).to.equal(4);
-    expect(targets.getService('late').readPattern().life).to.equal(900);
+    expect(targets.getService('late').readSlowdownParameters().life).to.equal(900);
     expect(targets.readLearnedState()).to.deep.equal({});
     const log = createRateLimitedLog(clock, 'error', {}, { writableLength: 0, write: () => true });
     const metrics = new TextMetrics();
--- a/test/strange.test.ts
+++ b/test/strange.test.ts
@@ -158,7 +158,7 @@
     const after = targets.getService('alpha').targets.get('i-1');
     expect(after?.load.countCalls(0, 1)).to.equal(0);
     expect(after?.load.lastSlowdown).to.equal(1);
-    expect(after?.failures.read(0)).to.equal(0);
+    expect(after?.failureRate.read(0)).to.equal(0);
     expect(after?.isUsable).to.equal(true);
     // What other daemons still tell of the earlier start is not taken for the later one.
     expect(targets.findByHash(before?.hash ?? 0)).to.equal(undefined);
