--- a/src/gateway/fleet/address-choice.ts
+++ b/src/gateway/fleet/address-choice.ts
@@ -10,16 +10,16 @@
 import type { MemberInfo } from '../../peering/index.js';
 
 /** A home that has at least this part of the strongest one's cores may be a spare. */
-const SPARE_PART = 0.5;
+const MIN_SPARE_CAPACITY_FRACTION = 0.5;
 
-function findStrongest(homes: readonly MemberInfo[]): number {
+function findMaxCapacity(homes: readonly MemberInfo[]): number {
   return Math.max(0, ...homes.map(({ capacity }) => capacity));
 }
 
 /** Draws homes, each as often as it has cores; the strongest ones always. */
-function drawByStrength(homes: readonly MemberInfo[], random: Random): readonly MemberInfo[] {
-  const strongest = findStrongest(homes);
-  return homes.filter(({ capacity }) => random.next() * strongest < capacity);
+function drawByCapacity(homes: readonly MemberInfo[], random: Random): readonly MemberInfo[] {
+  const maxCapacity = findMaxCapacity(homes);
+  return homes.filter(({ capacity }) => random.next() * maxCapacity < capacity);
 }
 
 /**
@@ -34,12 +34,12 @@
   random: Random,
 ): readonly MemberInfo[] {
   const near = homes.filter((home) => home.domain === domain);
-  if (near.length === 0) return drawByStrength(homes, random);
-  const after = homes.indexOf(near[near.length - 1]) + 1;
-  const strongest = findStrongest(homes);
-  const spare = [...homes.slice(after), ...homes].find(
-    (home) => !near.includes(home) && home.capacity >= SPARE_PART * strongest,
+  if (near.length === 0) return drawByCapacity(homes, random);
+  const afterNear = homes.indexOf(near[near.length - 1]) + 1;
+  const maxCapacity = findMaxCapacity(homes);
+  const spare = [...homes.slice(afterNear), ...homes].find(
+    (home) => !near.includes(home) && home.capacity >= MIN_SPARE_CAPACITY_FRACTION * maxCapacity,
   );
-  const named = drawByStrength(near, random);
-  return spare === undefined ? named : [...named, spare];
+  const chosen = drawByCapacity(near, random);
+  return spare === undefined ? chosen : [...chosen, spare];
 }
--- a/src/gateway/fleet/fleet-role.ts
+++ b/src/gateway/fleet/fleet-role.ts
@@ -16,10 +16,10 @@
 }
 
 /** Readers of the store: two, so that one may die without anybody noticing late. */
-const READERS = 2;
+const STORE_READERS = 2;
 
 /** Daemons ask homes four times a second; after this long, in milliseconds, all that are there have asked. */
-const SETTLE_TIME = 1500;
+const SETTLE_TIME_MS = 1500;
 
 /** The place of one daemon. */
 export class FleetRole {
@@ -39,7 +39,7 @@
 
   /** Whether it has just started, so that it may not know the others yet, nor they it. */
   get isNew(): boolean {
-    return this.age < SETTLE_TIME;
+    return this.age < SETTLE_TIME_MS;
   }
 
   /** IP numbers of the homes, in order. */
@@ -62,16 +62,16 @@
 
   /** Whether it reads the store for all, as the first homes do. */
   isDesignatedReader(): boolean {
-    return this.listHomes().slice(0, READERS).includes(this.options.self);
+    return this.listHomes().slice(0, STORE_READERS).includes(this.options.self);
   }
 
   /** What this daemon stands for in the fleet; it has no part of it before it can know the fleet. */
   readShare(): FleetShare {
-    const { self, readRoster, readLink, countListedDaemons: countListed } = this.options;
+    const { self, readRoster, readLink, countListedDaemons } = this.options;
     const link = readLink();
     const homes = this.listHomes();
     if (this.isNew || !link.hasJoined) return { part: 0, homes, self };
-    const members = Math.max(readRoster().size, countListed());
+    const members = Math.max(readRoster().size, countListedDaemons());
     return { part: Math.min(1, link.countHomePollers() / members), homes, self };
   }
 
--- a/src/gateway/fleet/home-planner.ts
+++ b/src/gateway/fleet/home-planner.ts
@@ -1,7 +1,7 @@
 /** Measures how busy this daemon is and, while it is the first home, plans how many homes there are. */
 import type { Clock, Log } from '../../kernel/index.js';
 import { HomeScaler, type Roster } from '../../peering/index.js';
-import { UtilisationMeter, createUtilizationReader } from './utilisation-meter.js';
+import { UtilisationMeter, createUtilisationReader } from './utilisation-meter.js';
 
 /** What the planner is made from. */
 export interface HomePlannerOptions {
@@ -16,44 +16,50 @@
 }
 
 /** Time between two looks, in milliseconds. */
-const PACE = 500;
+const PLAN_INTERVAL_MS = 500;
 
 /** The planner of one daemon. */
 export class HomePlanner {
-  readonly #plan = new HomeScaler();
+  readonly #scaler = new HomeScaler();
 
   readonly #meter: UtilisationMeter;
 
-  #busy = 0;
+  #utilisation = 0;
 
   constructor(private readonly options: HomePlannerOptions) {
-    this.#meter = new UtilisationMeter(options.clock, createUtilizationReader());
+    this.#meter = new UtilisationMeter(options.clock, createUtilisationReader());
   }
 
   /** The part of its time in which this daemon was at work of late, from 0 to 1. */
   get utilisation(): number {
-    return this.#busy;
+    return this.#utilisation;
   }
 
   /** Measures and plans until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, roster, self } = this.options;
     while (!signal.aborted) {
-      await clock.sleep(PACE, signal);
-      this.#busy = this.#meter.read();
+      await clock.sleep(PLAN_INTERVAL_MS, signal);
+      this.#utilisation = this.#meter.read();
       if (roster.listHomes()[0]?.ip === self) this.#planHomes();
     }
   }
 
   #planHomes(): void {
-    const { clock, log, roster, readMinHomes: readLeast, capacity } = this.options;
+    const { clock, log, roster, readMinHomes, capacity } = this.options;
     const before = Math.max(roster.desiredHomes, roster.listHomes().length);
-    const busy = [{ utilisation: this.#busy, capacity }, ...roster.listHomeUtilisations()];
-    const load = { homes: before, minHomes: readLeast(), utilisations: busy, now: clock.now() };
-    const planned = Math.min(Math.max(before, roster.countHomeCandidates()), this.#plan.plan(load));
+    const utilisations = [
+      { utilisation: this.#utilisation, capacity },
+      ...roster.listHomeUtilisations(),
+    ];
+    const input = { homes: before, minHomes: readMinHomes(), utilisations, now: clock.now() };
+    const planned = Math.min(
+      Math.max(before, roster.countHomeCandidates()),
+      this.#scaler.plan(input),
+    );
     if (planned === before) return;
     roster.setDesiredHomes(planned);
-    const parts = busy.map((home) => home.utilisation.toFixed(2)).join(',');
+    const parts = utilisations.map((home) => home.utilisation.toFixed(2)).join(',');
     log.info('homes.planned', { before, after: roster.desiredHomes, busy: parts });
   }
 }
--- a/src/gateway/fleet/knowledge-exchange.ts
+++ b/src/gateway/fleet/knowledge-exchange.ts
@@ -30,27 +30,27 @@
 
   /** What this daemon knows now. */
   read(): Knowledge {
-    const { clock, view, roster, listPoisonReports: listCases } = this.options;
+    const { clock, view, roster, listPoisonReports } = this.options;
     return {
       position: view.position,
       proofAge: clock.now() - view.provenAt,
-      lastRead: this.#findReading(),
+      lastRead: this.#findLastRead(),
       known: view.known,
       membersFingerprint: roster.readFingerprint(),
       desiredHomes: roster.desiredHomes,
       presences: roster.listPresences(),
-      poisonReports: listCases(),
+      poisonReports: listPoisonReports(),
     };
   }
 
   /** Takes what another daemon knows, and fetches it when it is more. */
   async receive(from: MemberInfo, knowledge: Knowledge): Promise<void> {
-    const { clock, self, view, roster, readerRole: duty, feed } = this.options;
-    duty.recordAnswer();
-    if (this.#isPlanFrom(from.ip)) roster.setDesiredHomes(knowledge.desiredHomes);
+    const { clock, self, view, roster, readerRole, feed } = this.options;
+    readerRole.recordAnswer();
+    if (this.#isPlanSource(from.ip)) roster.setDesiredHomes(knowledge.desiredHomes);
     const now = clock.now();
     const provenAt = now - knowledge.proofAge;
-    const { lastRead: reading } = knowledge;
+    const { lastRead } = knowledge;
     const { position } = view;
     const members = roster.readFingerprint();
     const isBehind =
@@ -66,22 +66,23 @@
       view.advanceKnown(knowledge.known);
     }
     // The echo of an own reading shows nothing.
-    if (reading === undefined || reading.reader === self) return;
-    duty.recordRemoteRead(reading.reader, now - reading.age);
+    if (lastRead === undefined || lastRead.reader === self) return;
+    readerRole.recordRemoteRead(lastRead.reader, now - lastRead.age);
   }
 
   /** The last reading of the store by a daemon itself, be it this one or another. */
-  #findReading(): StoreRead | undefined {
-    const { clock, self, reader, readerRole: duty } = this.options;
-    const { lastRemoteRead: told } = duty;
+  #findLastRead(): StoreRead | undefined {
+    const { clock, self, reader, readerRole } = this.options;
+    const { lastRemoteRead } = readerRole;
     const now = clock.now();
-    const { lastReadAt: readAt } = reader;
-    if (told !== undefined && told.at > readAt) return { reader: told.reader, age: now - told.at };
-    return readAt === -Infinity ? undefined : { reader: self, age: now - readAt };
+    const { lastReadAt } = reader;
+    if (lastRemoteRead !== undefined && lastRemoteRead.at > lastReadAt)
+      return { reader: lastRemoteRead.reader, age: now - lastRemoteRead.at };
+    return lastReadAt === -Infinity ? undefined : { reader: self, age: now - lastReadAt };
   }
 
   /** Homes and their successors take the plan of homes from the first home, the others from any home. */
-  #isPlanFrom(ip: string): boolean {
+  #isPlanSource(ip: string): boolean {
     const { roster } = this.options;
     const homes = roster.listHomes();
     if (roster.isNearHomes()) return homes[0]?.ip === ip;
--- a/src/gateway/fleet/utilisation-meter.ts
+++ b/src/gateway/fleet/utilisation-meter.ts
@@ -4,13 +4,13 @@
 import type { Clock } from '../../kernel/index.js';
 
 /** Long against one call, short against a burst. */
-const HALF_LIFE = 500;
+const HALF_LIFE_MS = 500;
 
 /** The share of a span in which the event loop was not idle, from 0 to 1; made anew for each span. */
-export type UtilizationReader = () => number;
+export type UtilisationReader = () => number;
 
 /** Reads the event loop of this process; time in which it was kept from the processor counts as work. */
-export function createUtilizationReader(): UtilizationReader {
+export function createUtilisationReader(): UtilisationReader {
   let last = performance.eventLoopUtilization();
   return () => {
     const now = performance.eventLoopUtilization();
@@ -22,16 +22,16 @@
 
 /** Follows the part that was work. */
 export class UtilisationMeter {
-  readonly #busy = new DecayingMean(HALF_LIFE);
+  readonly #utilisation = new DecayingMean(HALF_LIFE_MS);
 
   constructor(
     private readonly clock: Clock,
-    private readonly readUtilization: UtilizationReader,
+    private readonly readUtilisation: UtilisationReader,
   ) {}
 
   /** Takes what has passed since the last time, and returns the part that was work. */
   read(): number {
-    this.#busy.add(this.readUtilization(), this.clock.now());
-    return this.#busy.read(0);
+    this.#utilisation.add(this.readUtilisation(), this.clock.now());
+    return this.#utilisation.read(0);
   }
 }
--- a/src/gateway/targets/connections.ts
+++ b/src/gateway/targets/connections.ts
@@ -32,13 +32,13 @@
 const REFUSED = 'ECONNREFUSED';
 
 /** Longest wait for a new connection: a hundred times the usual, and short of what callers notice. */
-const CONNECT_TIMEOUT = 250;
+const CONNECT_TIMEOUT_MS = 250;
 
 /** How long a connection may rest where the target says nothing. */
-const REST_LIMIT = 4000;
+const DEFAULT_IDLE_LIMIT_MS = 4000;
 
 /** The target says when it closes; we stop using the connection this long before. */
-const REST_MARGIN = 1000;
+const IDLE_MARGIN_MS = 1000;
 
 /** Lends one open socket to the requests that are made with it. */
 class SocketAgent extends http.Agent {
@@ -54,72 +54,72 @@
 
 /** The connections to one target. */
 export class TargetConnections {
-  readonly #resting: TargetConnection[] = [];
+  readonly #idle: TargetConnection[] = [];
 
-  #open = 0;
+  #openCount = 0;
 
-  #asking: Promise<ListenState> | undefined;
+  #pendingCheck: Promise<ListenState> | undefined;
 
   constructor(
     private readonly address: Address,
     private readonly clock: Clock,
-    private readonly onOpened: () => void,
+    private readonly onConnectionOpened: () => void,
   ) {}
 
   /** Connections open now, at rest or in use. */
   get openCount(): number {
-    return this.#open;
+    return this.#openCount;
   }
 
   /** Takes a connection at rest for at most `maxRest` milliseconds, or opens a new one. */
-  async take(maxRest: number): Promise<ConnectionResult> {
-    const resting = this.#takeResting(maxRest);
-    if (resting !== undefined) return { kind: 'connected', connection: resting };
+  async take(maxIdle: number): Promise<ConnectionResult> {
+    const idle = this.#takeIdle(maxIdle);
+    if (idle !== undefined) return { kind: 'connected', connection: idle };
     return this.#connect();
   }
 
   /** Finds out by a new connection whether anybody listens; it is kept for the next call. */
   async checkListening(): Promise<ListenState> {
-    this.#asking ??= this.#askPresence();
+    this.#pendingCheck ??= this.#checkListening();
     try {
-      return await this.#asking;
+      return await this.#pendingCheck;
     } finally {
-      this.#asking = undefined;
+      this.#pendingCheck = undefined;
     }
   }
 
   /** Closes connections that have rested too long. */
   closeExpired(): void {
     const now = this.clock.now();
-    for (const connection of [...this.#resting]) {
+    for (const connection of [...this.#idle]) {
       if (now - connection.idleSince > connection.idleLimit) connection.socket.destroy();
     }
   }
 
   /** Closes the connections at rest; those in use end with their calls. */
   close(): void {
-    for (const connection of [...this.#resting]) connection.socket.destroy();
+    for (const connection of [...this.#idle]) connection.socket.destroy();
   }
 
-  async #askPresence(): Promise<ListenState> {
-    const asked = await this.#connect();
-    if (asked.kind === 'not-connected') return asked.reason === REFUSED ? 'nobody' : 'unknown';
-    asked.connection.socket.emit('free');
+  async #checkListening(): Promise<ListenState> {
+    const result = await this.#connect();
+    if (result.kind === 'not-connected') return result.reason === REFUSED ? 'nobody' : 'unknown';
+    result.connection.socket.emit('free');
     return 'somebody';
   }
 
-  #takeResting(maxRest: number): TargetConnection | undefined {
+  #takeIdle(maxIdle: number): TargetConnection | undefined {
     const now = this.clock.now();
     for (;;) {
-      const connection = this.#resting.pop();
+      const connection = this.#idle.pop();
       if (connection === undefined) return undefined;
-      const rest = now - connection.idleSince;
-      if (!connection.socket.writable || rest > connection.idleLimit) {
+      const idleTime = now - connection.idleSince;
+      if (!connection.socket.writable || idleTime > connection.idleLimit) {
         connection.socket.destroy();
         continue;
       }
-      if (rest > maxRest) {
-        this.#resting.push(connection);
+      if (idleTime > maxIdle) {
+        this.#idle.push(connection);
         return undefined;
       }
       connection.socket.removeAllListeners('data');
@@ -132,35 +132,35 @@
     return new Promise((resolve) => {
       const { host, port } = this.address;
       const socket = net.connect({ host, port, noDelay: true });
-      const timer = scheduleLagTolerantTimeout(CONNECT_TIMEOUT, () =>
+      const timer = scheduleLagTolerantTimeout(CONNECT_TIMEOUT_MS, () =>
         socket.destroy(new Error('timeout')),
       );
       let reason = 'closed';
       socket.on('error', (error: NodeJS.ErrnoException) => {
         reason = error.code ?? error.message;
       });
-      this.#open += 1;
+      this.#openCount += 1;
       socket.once('close', () => {
         timer.cancel();
-        this.#open -= 1;
+        this.#openCount -= 1;
         resolve({ kind: 'not-connected', reason });
       });
       socket.once('connect', () => {
         timer.cancel();
-        this.onOpened();
+        this.onConnectionOpened();
         const agent = new SocketAgent(socket);
         const connection: TargetConnection = {
-          ...{ socket, agent, isReused: false, idleSince: 0, idleLimit: REST_LIMIT },
+          ...{ socket, agent, isReused: false, idleSince: 0, idleLimit: DEFAULT_IDLE_LIMIT_MS },
         };
-        socket.on('free', () => this.#rest(connection));
-        socket.once('close', () => this.#drop(connection));
+        socket.on('free', () => this.#keepIdle(connection));
+        socket.once('close', () => this.#forgetIdle(connection));
         // The leaving of a caller that came in the same turn is read before anything is sent for it.
         setImmediate(() => resolve({ kind: 'connected', connection }));
       });
     });
   }
 
-  #rest(connection: TargetConnection): void {
+  #keepIdle(connection: TargetConnection): void {
     const { socket } = connection;
     // Bytes of a body that the target has not taken yet stand before whatever comes next.
     if (!socket.writable || socket.writableLength > 0) {
@@ -169,18 +169,18 @@
     }
     connection.idleSince = this.clock.now();
     socket.on('data', () => socket.destroy());
-    this.#resting.push(connection);
+    this.#idle.push(connection);
   }
 
-  #drop(connection: TargetConnection): void {
-    const index = this.#resting.indexOf(connection);
-    if (index >= 0) this.#resting.splice(index, 1);
+  #forgetIdle(connection: TargetConnection): void {
+    const index = this.#idle.indexOf(connection);
+    if (index >= 0) this.#idle.splice(index, 1);
   }
 }
 
 /** Reads from an answer's headers for how long its connection may rest. */
 export function parseIdleLimit(keepAlive: string | undefined): number {
   const seconds = /timeout=(\d+)/.exec(keepAlive ?? '')?.[1];
-  if (seconds === undefined) return REST_LIMIT;
-  return Math.max(0, Number(seconds) * 1000 - REST_MARGIN);
+  if (seconds === undefined) return DEFAULT_IDLE_LIMIT_MS;
+  return Math.max(0, Number(seconds) * 1000 - IDLE_MARGIN_MS);
 }
--- a/src/gateway/targets/local-rate-limits.ts
+++ b/src/gateway/targets/local-rate-limits.ts
@@ -23,13 +23,13 @@
 }
 
 /** Rates are worked out this often, in milliseconds. */
-const PACE = 100;
+const REFRESH_INTERVAL_MS = 100;
 
 /** The rates of the targets of one service. */
 export class LocalRateLimits {
   #share: FleetShare = { part: 0, homes: [], self: '' };
 
-  #shareAt = -Infinity;
+  #shareReadAt = -Infinity;
 
   /** Those worked out since the share was. */
   readonly #rates = new Map<GatewayTarget, number>();
@@ -45,21 +45,21 @@
   /** Calls a second that a target may get from here; Infinity where nothing limits it. */
   read(target: GatewayTarget): number {
     const now = this.options.clock.now();
-    const named = target.advertisedRate.read(now);
+    const advertised = target.advertisedRate.read(now);
     const isCold = target.warmUp.isCold(now);
-    const risen = target.availability.readRampRate(now);
-    if (named === undefined && risen === undefined && !isCold) return Infinity;
+    const ramp = target.availability.readRampRate(now);
+    if (advertised === undefined && ramp === undefined && !isCold) return Infinity;
     const share = this.#readShare(now);
-    const known = this.#rates.get(target);
-    if (known !== undefined) return known;
+    const cached = this.#rates.get(target);
+    if (cached !== undefined) return cached;
     const cold = isCold ? computeColdRate(this.options.readColdStartLimits()) : undefined;
-    let least = risen ?? Infinity;
-    for (const shared of [named, cold]) {
+    let lowest = ramp ?? Infinity;
+    for (const shared of [advertised, cold]) {
       if (shared === undefined) continue;
-      least = Math.min(least, computeOwnRate(shared, share, target.hash));
+      lowest = Math.min(lowest, computeOwnRate(shared, share, target.hash));
     }
-    this.#rates.set(target, least);
-    return least;
+    this.#rates.set(target, lowest);
+    return lowest;
   }
 
   /** Works a rate out anew, as what it rests on has changed. */
@@ -69,8 +69,8 @@
   }
 
   #readShare(now: number): FleetShare {
-    if (now - this.#shareAt < PACE) return this.#share;
-    this.#shareAt = now;
+    if (now - this.#shareReadAt < REFRESH_INTERVAL_MS) return this.#share;
+    this.#shareReadAt = now;
     this.#rates.clear();
     this.#share = this.options.readShare();
     return this.#share;
--- a/src/gateway/targets/prober.ts
+++ b/src/gateway/targets/prober.ts
@@ -34,19 +34,19 @@
 }
 
 /** A service with fewer calls a second here is not worth measuring from here, but by the homes. */
-const LEAST_RATE = 3;
+const MIN_NON_HOME_CALL_RATE = 3;
 
 /** A report is asked for again after this part of a call's time. */
-const REPORT_AGE = 0.75;
+const REFRESH_WORK_FRACTION = 0.75;
 
 /**
  * A report is asked for again after this part of the time for which it says something. One that is this
  * old has been overtaken in a quarter of the cases, and a call pays for that with several times its work.
  */
-const LIFE_PART = 0.25;
+const REFRESH_LIFE_FRACTION = 0.25;
 
 /** No target is probed more often than this, whatever is agreed, in milliseconds. */
-const LEAST_INTERVAL = 40;
+const MIN_INTERVAL_MS = 40;
 
 /**
  * Probes that one call is worth. Where a quarter of the targets is slow, three reports that are fresh when it
@@ -56,63 +56,63 @@
 const PROBES_PER_CALL = 3;
 
 /** A service with few calls is measured this many times a second by each home all the same. */
-const LEAST_PROBES = 100;
+const MIN_HOME_PROBES_PER_SECOND = 100;
 
 /** Up to this part of its time at work a daemon sends all the probes that its calls are worth. */
-const LEISURE_UP_TO = 0.5;
+const FULL_PROBING_UTILISATION = 0.5;
 
 /** Probes that were not needed may be sent later, as many as fit into this time, in milliseconds. */
-const SAVING_TIME = 250;
+const MAX_SAVED_MS = 250;
 
 /** How often a daemon without calls looks whether some have come. */
-const IDLE_PACE = 100;
+const IDLE_INTERVAL_MS = 100;
 
 /** Targets are probed twice as often for this long after a call has had to wait. */
-const HURRY_TIME = 1000;
+const BOOST_TIME_MS = 1000;
 
 /** A home goes on probing this long after the last call, in milliseconds. */
-const IN_USE = 2000;
+const IN_USE_MS = 2000;
 
 /** A probe that takes longer tells that the target is mute or cut off. */
-const TIMEOUT = 400;
+const PROBE_TIMEOUT_MS = 400;
 
 /** Targets are probed in this many batches, so that probes do not come all at once. */
 const BATCHES = 4;
 
-const HEALTHY = 200;
+const HEALTHY_STATUS = 200;
 
 /** Another home's probe is this many intervals late before this one stands in. */
-const STAND_IN_FACTOR = 3;
+const OVERDUE_INTERVALS = 3;
 
 /**
  * A target that gets calls from here all the time is asked this often, in milliseconds, whether it has turned cold:
  * its answers to calls don't tell. What it gets meanwhile has to fit what it may get within one second.
  */
-const WARMTH_AGE = 400;
+const COLD_CHECK_INTERVAL_MS = 400;
 
 /** A target in need, which names the rate that it takes, is asked no more often than this, in milliseconds. */
-const LIMITED_INTERVAL = 1000;
+const MIN_LIMITED_INTERVAL_MS = 1000;
 
 /** From this many calls of late on that is worth a probe. */
-const BUSY_CALLS = 2;
+const MIN_COLD_CHECK_CALLS = 2;
 
 /** How the targets of one service are probed in one turn; times in milliseconds. */
 interface ProbePlan {
   readonly homes: readonly ProbingHome[];
   readonly isHome: boolean;
   /** Least time between two probes of one target from here. */
-  readonly least: number;
+  readonly minInterval: number;
   readonly interval: number;
   /** A report younger than this is not asked for again. */
-  readonly rest: number;
+  readonly minReportAge: number;
   /** Probes a second that the service's calls are worth here. */
-  readonly worth: number;
+  readonly probesPerSecond: number;
   /** Whether its targets may turn cold, and bear little then. */
-  readonly asksWarmth: boolean;
+  readonly checksColdStart: boolean;
 }
 
 /** One turn of probing one service. */
-interface ProbeTurn {
+interface ProbeRound {
   /** The path of its health check. */
   readonly path: string;
   readonly batch: number;
@@ -120,9 +120,9 @@
 }
 
 /** Probes that may be sent now. */
-interface Allowance {
+interface ProbeBudget {
   probes: number;
-  at: number;
+  updatedAt: number;
 }
 
 /**
@@ -133,10 +133,10 @@
   target: Pick<GatewayTarget, 'hash' | 'record'>,
   homes: readonly ProbingHome[],
 ): string | undefined {
-  const near = homes.filter(({ domain }) => domain === target.record.domain);
+  const sameDomain = homes.filter(({ domain }) => domain === target.record.domain);
   let best: string | undefined;
   let bestRank = -1;
-  for (const { ip } of near.length > 0 ? near : homes) {
+  for (const { ip } of sameDomain.length > 0 ? sameDomain : homes) {
     const rank = getPairHash(ip, String(target.hash));
     if (rank <= bestRank) continue;
     best = ip;
@@ -149,7 +149,7 @@
 export class Prober {
   readonly #probing = new Set<GatewayTarget>();
 
-  readonly #allowances = new Map<TargetService, Allowance>();
+  readonly #budgets = new Map<TargetService, ProbeBudget>();
 
   /** Probes sent since the start. */
   sent = 0;
@@ -159,12 +159,15 @@
   /** Probes until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, interval, targets } = this.options;
-    for (let turn = 0; !signal.aborted; turn += 1) {
-      this.#probeBatch(turn % BATCHES);
+    for (let round = 0; !signal.aborted; round += 1) {
+      this.#probeBatch(round % BATCHES);
       const homes = this.options.listHomes();
       const inUse = targets.listServices().filter((service) => this.#isInUse(service, homes));
-      const pace = Math.min(interval, ...inUse.map((service) => this.#readInterval(service)));
-      await clock.sleep(inUse.length === 0 ? IDLE_PACE : pace / BATCHES, signal);
+      const roundTime = Math.min(
+        interval,
+        ...inUse.map((service) => this.#computeWantedInterval(service)),
+      );
+      await clock.sleep(inUse.length === 0 ? IDLE_INTERVAL_MS : roundTime / BATCHES, signal);
     }
   }
 
@@ -173,16 +176,20 @@
    * calls have had to wait of late, knowing sooner which target is quick saves slots; where they wait for
    * this daemon itself, twice the probes take a tenth of what it has, and each answer brings a report.
    */
-  #readInterval(service: TargetService): number {
+  #computeWantedInterval(service: TargetService): number {
     const { interval } = this.options;
     const { life } = service.readSlowdownParameters();
-    const wanted = Math.min(interval, service.readWork(interval) * REPORT_AGE, life * LIFE_PART);
-    return Math.max(LEAST_INTERVAL, this.#isHurried(service) ? wanted / 2 : wanted);
+    const wanted = Math.min(
+      interval,
+      service.readWork(interval) * REFRESH_WORK_FRACTION,
+      life * REFRESH_LIFE_FRACTION,
+    );
+    return Math.max(MIN_INTERVAL_MS, this.#isBoosted(service) ? wanted / 2 : wanted);
   }
 
-  #isHurried(service: TargetService): boolean {
+  #isBoosted(service: TargetService): boolean {
     if (this.options.readUtilisation() >= HIGH_UTILISATION) return false;
-    return this.options.clock.now() - service.queue.lastWaitAt < HURRY_TIME;
+    return this.options.clock.now() - service.queue.lastWaitAt < BOOST_TIME_MS;
   }
 
   #probeBatch(batch: number): void {
@@ -193,20 +200,20 @@
     for (const service of targets.listServices()) {
       const { healthPath: path = '', coldRate = Infinity } = table.findService(service.name) ?? {};
       if (path === '' || !this.#isInUse(service, homes)) continue;
-      const plan = { ...this.#planProbes(service, homes), asksWarmth: coldRate < Infinity };
+      const plan = { ...this.#planProbes(service, homes), checksColdStart: coldRate < Infinity };
       this.#probeService(service, { path, batch, plan });
     }
   }
 
-  #probeService(service: TargetService, { path, batch, plan }: ProbeTurn): void {
-    const allowance = this.#readAllowance(service, plan.worth);
+  #probeService(service: TargetService, { path, batch, plan }: ProbeRound): void {
+    const budget = this.#refillBudget(service, plan.probesPerSecond);
     let index = 0;
     for (const target of service.targets.values()) {
-      if (allowance.probes < 1) return;
+      if (budget.probes < 1) return;
       index += 1;
       if (index % BATCHES !== batch || !target.isUsable || this.#probing.has(target)) continue;
       if (!this.#isDue(target, plan)) continue;
-      allowance.probes -= 1;
+      budget.probes -= 1;
       this.#probe(service, target, path).catch(() => undefined);
     }
   }
@@ -214,42 +221,54 @@
   #planProbes(
     service: TargetService,
     homes: readonly ProbingHome[],
-  ): Omit<ProbePlan, 'asksWarmth'> {
-    const { countDaemons, readProbeLimit: readLimit } = this.options;
+  ): Omit<ProbePlan, 'checksColdStart'> {
+    const { countDaemons, readProbeLimit } = this.options;
     const isHome = this.#isHome(homes);
-    const least = computeProbeInterval({ limit: readLimit(), ...countDaemons(), isHome });
+    const minInterval = computeProbeInterval({
+      limit: readProbeLimit(),
+      ...countDaemons(),
+      isHome,
+    });
     const calls = service.callRate.read(this.options.clock.now());
-    const wantedProbes = Math.max(isHome ? LEAST_PROBES : 0, PROBES_PER_CALL * calls);
-    const worth = Math.max(1, wantedProbes * this.#measureLeisure());
+    const wantedProbes = Math.max(isHome ? MIN_HOME_PROBES_PER_SECOND : 0, PROBES_PER_CALL * calls);
+    const probesPerSecond = Math.max(1, wantedProbes * this.#computeProbingFraction());
     // At this interval a home's part of the targets takes no more probes than that.
-    const affordable = (service.targets.size / Math.max(1, homes.length) / worth) * 1000;
-    const wanted = this.#readInterval(service);
-    const interval = Math.max(least, affordable, wanted);
+    const affordableInterval =
+      (service.targets.size / Math.max(1, homes.length) / probesPerSecond) * 1000;
+    const wanted = this.#computeWantedInterval(service);
+    const interval = Math.max(minInterval, affordableInterval, wanted);
     // Each target is looked at once in the wanted interval, so it may be due half of that early.
-    return { homes, isHome, least, interval, rest: interval - wanted / 2, worth };
+    return {
+      homes,
+      isHome,
+      minInterval,
+      interval,
+      minReportAge: interval - wanted / 2,
+      probesPerSecond,
+    };
   }
 
   /**
    * The part of the wanted probes for which the processor has time: all of them up to half of its time at work, and
    * fewer the less it leaves. Calls that wait for it lose more than a staler report costs them.
    */
-  #measureLeisure(): number {
-    return Math.min(1, (1 - this.options.readUtilisation()) / (1 - LEISURE_UP_TO));
+  #computeProbingFraction(): number {
+    return Math.min(1, (1 - this.options.readUtilisation()) / (1 - FULL_PROBING_UTILISATION));
   }
 
   /**
    * What may be sent now. A daemon that has heard nothing yet finds every target due at once: with three
    * calls in a second each of 312 daemons asked all of 503 targets over new connections.
    */
-  #readAllowance(service: TargetService, worth: number): Allowance {
+  #refillBudget(service: TargetService, probesPerSecond: number): ProbeBudget {
     const now = this.options.clock.now();
-    const allowance = this.#allowances.get(service) ?? { probes: 0, at: now - SAVING_TIME };
-    const earned = (worth * (now - allowance.at)) / 1000;
-    const most = Math.max(1, (worth * SAVING_TIME) / 1000);
-    allowance.probes = Math.min(most, allowance.probes + earned);
-    allowance.at = now;
-    this.#allowances.set(service, allowance);
-    return allowance;
+    const budget = this.#budgets.get(service) ?? { probes: 0, updatedAt: now - MAX_SAVED_MS };
+    const earned = (probesPerSecond * (now - budget.updatedAt)) / 1000;
+    const maxProbes = Math.max(1, (probesPerSecond * MAX_SAVED_MS) / 1000);
+    budget.probes = Math.min(maxProbes, budget.probes + earned);
+    budget.updatedAt = now;
+    this.#budgets.set(service, budget);
+    return budget;
   }
 
   #isHome(homes: readonly ProbingHome[]): boolean {
@@ -259,8 +278,8 @@
   /** Calls meet at homes, so one call shows that more will come; elsewhere a few are no reason. */
   #isInUse(service: TargetService, homes: readonly ProbingHome[]): boolean {
     const now = this.options.clock.now();
-    if (this.#isHome(homes)) return now - service.lastCallAt < IN_USE;
-    return service.callRate.read(now) >= LEAST_RATE;
+    if (this.#isHome(homes)) return now - service.lastCallAt < IN_USE_MS;
+    return service.callRate.read(now) >= MIN_NON_HOME_CALL_RATE;
   }
 
   /**
@@ -268,23 +287,26 @@
    * Others hear from the homes, and ask only what their small part of the agreed number allows.
    */
   #isDue(target: GatewayTarget, plan: ProbePlan): boolean {
-    const { homes, isHome, least } = plan;
+    const { homes, isHome, minInterval } = plan;
     const now = this.options.clock.now();
-    const floor = target.advertisedRate.isLimited ? LIMITED_INTERVAL : 0;
-    const rest = Math.max(floor, plan.rest);
+    const floor = target.advertisedRate.isLimited ? MIN_LIMITED_INTERVAL_MS : 0;
+    const minReportAge = Math.max(floor, plan.minReportAge);
     const interval = Math.max(floor, plan.interval);
     // A target that does not answer is due again no sooner than the others.
-    if (now - target.lastProbeAt < Math.max(least, rest)) return false;
-    if (plan.asksWarmth && this.#mayHaveTurnedCold(target)) return true;
+    if (now - target.lastProbeAt < Math.max(minInterval, minReportAge)) return false;
+    if (plan.checksColdStart && this.#mayBeCold(target)) return true;
     const age = now - target.load.slowdownAt;
-    if (age < rest) return false;
-    const isMine = isHome && chooseProbingHome(target, homes) === this.options.self;
-    return isMine || age >= interval * STAND_IN_FACTOR;
+    if (age < minReportAge) return false;
+    const isOwn = isHome && chooseProbingHome(target, homes) === this.options.self;
+    return isOwn || age >= interval * OVERDUE_INTERVALS;
   }
 
-  #mayHaveTurnedCold({ recentSends: sent, warmUp: warmth }: GatewayTarget): boolean {
+  #mayBeCold({ recentSends, warmUp }: GatewayTarget): boolean {
     const now = this.options.clock.now();
-    return sent.count(now) >= BUSY_CALLS && now - warmth.reportedAt >= WARMTH_AGE;
+    return (
+      recentSends.count(now) >= MIN_COLD_CHECK_CALLS &&
+      now - warmUp.reportedAt >= COLD_CHECK_INTERVAL_MS
+    );
   }
 
   async #probe(service: TargetService, target: GatewayTarget, path: string): Promise<void> {
@@ -303,12 +325,12 @@
         return;
       }
       this.sent += 1;
-      const own = target.load.countArrived(startedAt);
-      const answer = await this.#ask(taken.connection, path);
-      target.recordHealth(answer?.statusCode === HEALTHY);
+      const ownCalls = target.load.countArrived(startedAt);
+      const answer = await this.#sendProbe(taken.connection, path);
+      target.recordHealth(answer?.statusCode === HEALTHY_STATUS);
       if (answer === undefined) return;
       const report = decodeSelfReport(answer.statusCode, answer.headers);
-      target.receiveReport(report, { sentAt: startedAt, ownCalls: own, isSuccess: false });
+      target.receiveReport(report, { sentAt: startedAt, ownCalls, isSuccess: false });
       const { load } = report;
       if (load !== undefined && !target.isMisdirected) {
         service.slowdownModel.record(load.slowdown, clock.now());
@@ -318,22 +340,22 @@
     }
   }
 
-  #ask(
+  #sendProbe(
     { agent, socket }: { readonly agent: http.Agent; readonly socket: { destroy(): void } },
     path: string,
   ): Promise<http.IncomingMessage | undefined> {
     return new Promise((resolve) => {
       const request = http.request({ agent, method: 'GET', path, headers: { host: 'health' } });
-      const timer = scheduleLagTolerantTimeout(TIMEOUT, () => socket.destroy());
-      const conclude = (answer: http.IncomingMessage | undefined) => {
+      const timer = scheduleLagTolerantTimeout(PROBE_TIMEOUT_MS, () => socket.destroy());
+      const finish = (answer: http.IncomingMessage | undefined) => {
         timer.cancel();
         resolve(answer);
       };
-      request.on('error', () => conclude(undefined));
+      request.on('error', () => finish(undefined));
       request.on('response', (response) => {
         response.resume();
-        response.on('error', () => conclude(undefined));
-        response.on('end', () => conclude(response));
+        response.on('error', () => finish(undefined));
+        response.on('end', () => finish(response));
       });
       request.end();
     });
--- a/src/gateway/targets/slot-queue.ts
+++ b/src/gateway/targets/slot-queue.ts
@@ -44,7 +44,7 @@
 /** What a queue asks for each call in turn. */
 export type TargetChooser = (
   call: SlotCall,
-  ahead: number,
+  callsAhead: number,
 ) =>
   | {
       readonly kind: 'now';
@@ -62,21 +62,21 @@
   | { readonly kind: 'none'; readonly wait?: number };
 
 /** Reports and ends of calls wake the queue; this is for time that passes without any. */
-const PUMP_PACE = 10;
+const PUMP_INTERVAL_MS = 10;
 
 /** When a caller may return that found no target: lists of targets change within a part of a second. */
-const NO_TARGET_RETURN = 250;
+const NO_TARGET_WAIT_MS = 250;
 
 /** The queue of one service. */
 export class SlotQueue {
-  readonly #line: WaitQueue<SlotCall>;
+  readonly #waiting: WaitQueue<SlotCall>;
 
-  readonly #resolvers = new Map<SlotCall, (answer: PlacementResult) => void>();
+  readonly #resolvers = new Map<SlotCall, (result: PlacementResult) => void>();
 
   #timer: Timer | undefined;
 
   /** What calls wait for besides slots. */
-  #limit: LimitReason | undefined;
+  #limitReason: LimitReason | undefined;
 
   /** When a call last had to wait. */
   lastWaitAt = -Infinity;
@@ -84,92 +84,95 @@
   constructor(
     private readonly clock: Clock,
     random: Random,
-    private readonly adviser: TargetChooser,
+    private readonly chooseTarget: TargetChooser,
   ) {
-    this.#line = new WaitQueue(clock, random);
+    this.#waiting = new WaitQueue(clock, random);
   }
 
   /** Calls that wait. */
   get size(): number {
-    return this.#line.size;
+    return this.#waiting.size;
   }
 
   /** Gives a target at once, or makes the call wait, or refuses it. */
   take(call: SlotCall): PlacementResult | Promise<PlacementResult> {
-    this.#line.recordArrival(call);
-    const ahead = this.#line.countAhead(call);
-    const advice = this.adviser(call, ahead);
-    switch (advice.kind) {
+    this.#waiting.recordArrival(call);
+    const callsAhead = this.#waiting.countAhead(call);
+    const choice = this.chooseTarget(call, callsAhead);
+    switch (choice.kind) {
       case 'none':
-        return this.#refuseNone(advice.wait);
+        return this.#refuseWithoutTarget(choice.wait);
       case 'now':
-        return ahead === 0 ? this.#start(call, advice) : this.#wait(call, true);
+        return callsAhead === 0 ? this.#start(call, choice) : this.#wait(call, true);
       case 'wait': {
-        this.#noteWait(call, advice);
-        const admission = this.#line.judge(call);
-        return this.#follow(call, admission) ?? this.#wait(call, admission.kind === 'in-time');
+        this.#updatePace(call, choice);
+        const admission = this.#waiting.judge(call);
+        return (
+          this.#refuseIfHopeless(call, admission) ?? this.#wait(call, admission.kind === 'in-time')
+        );
       }
       default:
-        return advice satisfies never;
+        return choice satisfies never;
     }
   }
 
   /** Takes back a call that waits: its caller left, or its time is over. */
   remove(call: SlotCall): void {
-    this.#line.remove(call);
+    this.#waiting.remove(call);
     this.#resolvers.delete(call);
   }
 
   /** Serves those that wait, as far as there is room. */
   pump(): void {
     if (this.size === 0) return;
-    for (const call of this.#line.list()) {
-      const advice = this.adviser(call, 0);
-      if (advice.kind === 'wait') {
-        this.#noteWait(call, advice);
+    for (const call of this.#waiting.list()) {
+      const choice = this.chooseTarget(call, 0);
+      if (choice.kind === 'wait') {
+        this.#updatePace(call, choice);
         break;
       }
-      if (advice.kind === 'now') this.#answer(call, this.#start(call, advice));
-      else this.#answer(call, this.#refuseNone(advice.wait));
+      if (choice.kind === 'now') this.#resolve(call, this.#start(call, choice));
+      else this.#resolve(call, this.#refuseWithoutTarget(choice.wait));
     }
-    this.#pumpLater();
+    this.#schedulePump();
   }
 
-  #noteWait(
+  #updatePace(
     { work }: SlotCall,
     { pace, slowdown, limit, opensIn }: Extract<ReturnType<TargetChooser>, { kind: 'wait' }>,
   ): void {
-    this.#limit = limit;
-    this.#line.updatePace(pace * work, slowdown, opensIn);
+    this.#limitReason = limit;
+    this.#waiting.updatePace(pace * work, slowdown, opensIn);
   }
 
-  #answer(call: SlotCall, answer: PlacementResult): void {
+  #resolve(call: SlotCall, result: PlacementResult): void {
     const resolve = this.#resolvers.get(call);
     this.remove(call);
-    resolve?.(answer);
+    resolve?.(result);
   }
 
   /** Sends back those that wait in vain, as the outlook is now. */
-  #review(): void {
-    for (const { call, wait } of this.#line.removeHopeless(this.#limit !== undefined)) {
-      this.#answer(call, this.#refuse(wait));
+  #refuseHopeless(): void {
+    for (const { call, wait } of this.#waiting.removeHopeless(this.#limitReason !== undefined)) {
+      this.#resolve(call, this.#refuse(wait));
     }
   }
 
   #refuse(wait: number): PlacementResult {
-    const reason = this.#limit ?? 'no-room';
-    return { kind: 'refused', reason, wait: this.#line.chooseRetryDelay(wait) };
+    const reason = this.#limitReason ?? 'no-room';
+    return { kind: 'refused', reason, wait: this.#waiting.chooseRetryDelay(wait) };
   }
 
-  #refuseNone(wait: number | undefined): PlacementResult {
-    if (wait === undefined) return { kind: 'refused', reason: 'no-target', wait: NO_TARGET_RETURN };
-    return { kind: 'refused', reason: 'backoff', wait: this.#line.chooseRetryDelay(wait) };
+  #refuseWithoutTarget(wait: number | undefined): PlacementResult {
+    if (wait === undefined)
+      return { kind: 'refused', reason: 'no-target', wait: NO_TARGET_WAIT_MS };
+    return { kind: 'refused', reason: 'backoff', wait: this.#waiting.chooseRetryDelay(wait) };
   }
 
-  #follow(call: SlotCall, admission: Admission): PlacementResult | undefined {
+  #refuseIfHopeless(call: SlotCall, admission: Admission): PlacementResult | undefined {
     if (admission.kind !== 'refuse' || !call.isWorkKnown) return undefined;
     // A slot may free sooner than expected, so a repeat waits on for one; what targets take is known.
-    if (!call.mayBeRefused && this.#limit === undefined) return undefined;
+    if (!call.mayBeRefused && this.#limitReason === undefined) return undefined;
     return this.#refuse(admission.wait);
   }
 
@@ -192,21 +195,21 @@
     return { kind: 'target', target: candidate };
   }
 
-  #wait(call: SlotCall, isSure: boolean): Promise<PlacementResult> {
+  #wait(call: SlotCall, isInTime: boolean): Promise<PlacementResult> {
     this.lastWaitAt = this.clock.now();
     return new Promise((resolve) => {
-      this.#line.add(call, isSure);
+      this.#waiting.add(call, isInTime);
       this.#resolvers.set(call, resolve);
-      this.#pumpLater();
+      this.#schedulePump();
     });
   }
 
-  #pumpLater(): void {
+  #schedulePump(): void {
     if (this.#timer !== undefined || this.size === 0) return;
-    this.#timer = this.clock.schedule(PUMP_PACE, () => {
+    this.#timer = this.clock.schedule(PUMP_INTERVAL_MS, () => {
       this.#timer = undefined;
       this.pump();
-      this.#review();
+      this.#refuseHopeless();
     });
   }
 }
--- a/src/gateway/targets/target-events.ts
+++ b/src/gateway/targets/target-events.ts
@@ -17,25 +17,25 @@
 /** A header of a target's answer that could not be read. */
 export interface UnreadableHeader {
   readonly field: 'rate' | 'draining' | 'backoff';
-  readonly what: string;
+  readonly value: string;
 }
 
 /** What is told when a target says something new of itself. */
 export interface TargetListener {
-  onRateChange(target: GatewayTarget, news: RateChangeEvent): void;
+  onRateChange(target: GatewayTarget, change: RateChangeEvent): void;
   /** The target drains. @param from the IP number of the daemon that told of it, or `target` */
   onDraining(target: GatewayTarget, from: string, age: number): void;
   /** The target wants nothing from this daemon for a time, in milliseconds. */
   onBackoff(target: GatewayTarget, time: number): void;
   onBackoffEnd(target: GatewayTarget): void;
-  onUnreadableHeader(target: GatewayTarget, statement: UnreadableHeader): void;
+  onUnreadableHeader(target: GatewayTarget, header: UnreadableHeader): void;
   /** No target of the service takes calls any more. */
   onServiceUnavailable(service: TargetService): void;
   /** Some targets of the service take calls again. */
   onServiceAvailable(service: TargetService, usable: number): void;
 }
 
-const EXPECTED: Readonly<Record<UnreadableHeader['field'], string>> = {
+const EXPECTED_FORMATS: Readonly<Record<UnreadableHeader['field'], string>> = {
   rate: 'a decimal number',
   draining: '1',
   backoff: 'a decimal number of seconds',
@@ -43,16 +43,16 @@
 
 /** Tells of targets in lines, and counts. */
 export class TargetEventLog implements TargetListener {
-  /** @param readOwnRate what a target may get from here now */
+  /** @param readLocalRate what a target may get from here now */
   constructor(
     private readonly log: Log,
     private readonly metrics: TextMetrics,
-    private readonly readOwnRate: (target: GatewayTarget) => number,
+    private readonly readLocalRate: (target: GatewayTarget) => number,
   ) {}
 
   onRateChange(target: GatewayTarget, { before, rate, age, from }: RateChangeEvent): void {
     const { incarnation, service } = target.record;
-    const own = this.readOwnRate(target);
+    const own = this.readLocalRate(target);
     this.log.info('target.limited', {
       ...{ target: incarnation, service, rate: rate ?? 'none', before: before ?? 'none' },
       ...{ own: own === Infinity ? 'any' : own.toFixed(2), age: Math.round(age), from },
@@ -89,10 +89,10 @@
     this.log.info('service.served', { service: name, targets: targets.size, usable });
   }
 
-  onUnreadableHeader({ record }: GatewayTarget, { field, what }: UnreadableHeader): void {
+  onUnreadableHeader({ record }: GatewayTarget, { field, value }: UnreadableHeader): void {
     const { incarnation, service } = record;
     this.log.warn(`${field}.unreadable`, {
-      ...{ target: incarnation, what, expected: EXPECTED[field] },
+      ...{ target: incarnation, what: value, expected: EXPECTED_FORMATS[field] },
     });
     this.metrics.count(`${field}_unreadable`, { service });
   }
--- a/src/gateway/targets/target-service.ts
+++ b/src/gateway/targets/target-service.ts
@@ -19,7 +19,7 @@
 import { type PlacementRequest, SlotQueue } from './slot-queue.js';
 import { type GatewayTarget, readRelease } from './target.js';
 
-const SECOND = 1000;
+const MS_PER_SECOND = 1000;
 
 /** What a service is made from. */
 export interface TargetServiceOptions {
@@ -41,19 +41,19 @@
 }
 
 /** How this daemon's calls compare with all is followed for a few calls' time. */
-const SHARERS_HALF_LIFE = 300;
+const CALL_RATIO_HALF_LIFE_MS = 300;
 
 /** The others tell of their calls this often, in milliseconds. */
-const SHARERS_PACE = 20;
+const CALL_RATIO_INTERVAL_MS = 20;
 
 /** Calls of a service change little; this follows some hundreds of them. */
-const TIME_HALF_LIFE = 3000;
+const WORK_HALF_LIFE_MS = 3000;
 
 /**
  * A target that has run for this long, in milliseconds, is not one of those that end every few seconds: what is lost
  * there was not lost by chance.
  */
-const STEADY_AGE = 20_000;
+const MIN_LONG_RUNNING_AGE_MS = 20_000;
 
 /** One service as this daemon uses it. */
 export class TargetService {
@@ -76,13 +76,13 @@
   /** What the targets' reports have taught of how slow they are. */
   readonly slowdownModel = new SlowdownModel();
 
-  readonly #time = new DecayingMean(TIME_HALF_LIFE);
+  readonly #work = new DecayingMean(WORK_HALF_LIFE_MS);
 
-  readonly #sharers = new DecayingMean(SHARERS_HALF_LIFE);
+  readonly #callRatio = new DecayingMean(CALL_RATIO_HALF_LIFE_MS);
 
-  #sharersAt = -Infinity;
+  #callRatioMeasuredAt = -Infinity;
 
-  #pool: CandidatePool<GatewayTarget> | undefined;
+  #candidatePool: CandidatePool<GatewayTarget> | undefined;
 
   /** Calls that went elsewhere because a target had had what it takes. */
   rateLimitDiversions = 0;
@@ -100,8 +100,8 @@
       ...{ clock: options.clock, readShare: options.readShare },
       readColdStartLimits: () => options.readColdStartLimits(name),
     });
-    this.queue = new SlotQueue(options.clock, options.random, (call, ahead) =>
-      this.chooseTarget(call, ahead),
+    this.queue = new SlotQueue(options.clock, options.random, (call, callsAhead) =>
+      this.chooseTarget(call, callsAhead),
     );
   }
 
@@ -119,7 +119,7 @@
 
   /** How long calls take at a usual, idle target, in milliseconds; `fallback` before the first one. */
   readWork(fallback: number): number {
-    return this.#time.read(fallback);
+    return this.#work.read(fallback);
   }
 
   /** What others may start from; undefined before enough was seen here. */
@@ -129,14 +129,14 @@
   }
 
   /** Takes what others have learnt, until enough was seen here. */
-  restoreLearnedState(lesson: LearnedServiceState): void {
-    this.slowdownModel.setPrior(lesson);
-    this.knee.setPrior(lesson.knee);
+  restoreLearnedState(state: LearnedServiceState): void {
+    this.slowdownModel.setPrior(state);
+    this.knee.setPrior(state.knee);
   }
 
   /** Counts the targets that take no more than a rate that they name. */
   countLimited(): number {
-    return this.#countTargets(({ advertisedRate: named }) => named.isLimited);
+    return this.#countTargets(({ advertisedRate }) => advertisedRate.isLimited);
   }
 
   /** Counts the targets that new calls may go to. */
@@ -146,13 +146,13 @@
 
   /** Counts the targets that have said that they drain. */
   countDraining(): number {
-    return this.#countTargets(({ availability: standing }) => standing.draining !== undefined);
+    return this.#countTargets(({ availability }) => availability.draining !== undefined);
   }
 
   /** Counts the targets that want nothing from this daemon now. */
   countBackedOff(): number {
     const now = this.options.clock.now();
-    return this.#countTargets(({ availability: standing }) => standing.isBackedOff(now));
+    return this.#countTargets(({ availability }) => availability.isBackedOff(now));
   }
 
   #countTargets(isCounted: (target: GatewayTarget) => boolean): number {
@@ -162,95 +162,100 @@
   }
 
   /** Learns from one call how long calls take at a usual target. */
-  recordWork(time: number): void {
-    this.#time.add(time, this.options.clock.now());
+  recordWork(work: number): void {
+    this.#work.add(work, this.options.clock.now());
   }
 
   /** Takes it that targets came, went or changed. */
-  noteChange(): void {
-    this.#pool = undefined;
+  clearCandidatePool(): void {
+    this.#candidatePool = undefined;
   }
 
-  #readPool(): CandidatePool<GatewayTarget> {
-    if (this.#pool !== undefined) return this.#pool;
-    const near: GatewayTarget[] = [];
-    const far: GatewayTarget[] = [];
+  #getCandidatePool(): CandidatePool<GatewayTarget> {
+    if (this.#candidatePool !== undefined) return this.#candidatePool;
+    const sameDomain: GatewayTarget[] = [];
+    const otherDomains: GatewayTarget[] = [];
     for (const target of this.targets.values()) {
-      (target.record.domain === this.options.domain ? near : far).push(target);
+      (target.record.domain === this.options.domain ? sameDomain : otherDomains).push(target);
     }
-    this.#pool = { sameDomain: near, otherDomains: far };
-    return this.#pool;
+    this.#candidatePool = { sameDomain, otherDomains };
+    return this.#candidatePool;
   }
 
   /**
    * Advises a call that has tried some targets already. One under which a target has ended goes where no other such
    * call runs, to a target that has run for long where there is one.
    *
-   * @param ahead calls that go first
+   * @param callsAhead calls that go first
    */
-  chooseTarget(wish: PlacementRequest, ahead: number): TargetChoice<GatewayTarget> {
-    const { suspect: care } = wish;
+  chooseTarget(request: PlacementRequest, callsAhead: number): TargetChoice<GatewayTarget> {
+    const { suspect } = request;
     let isLimited = false;
     let isBackedOff = false;
-    const mayTake = (target: GatewayTarget) => {
-      if (!this.#isOpenTo(target, wish)) {
+    const mayGetCall = (target: GatewayTarget) => {
+      if (!this.#isEligible(target, request)) {
         isBackedOff ||= target.isBackedOff;
         return false;
       }
-      const isSpent = this.rateLimits.isExhausted(target);
-      isLimited ||= isSpent;
-      return !isSpent;
+      const isExhausted = this.rateLimits.isExhausted(target);
+      isLimited ||= isExhausted;
+      return !isExhausted;
     };
-    if (care === undefined) {
-      const advice = this.#chooseAmong(mayTake, wish, ahead);
-      if (isLimited && advice.kind === 'now') this.rateLimitDiversions += 1;
-      if (isBackedOff && advice.kind === 'now') this.backoffDiversions += 1;
-      return advice.kind === 'none' ? this.#adviseLimited(wish) : advice;
+    if (suspect === undefined) {
+      const choice = this.#chooseAmong(mayGetCall, request, callsAhead);
+      if (isLimited && choice.kind === 'now') this.rateLimitDiversions += 1;
+      if (isBackedOff && choice.kind === 'now') this.backoffDiversions += 1;
+      return choice.kind === 'none' ? this.#planRateLimitWait(request) : choice;
     }
     const now = this.options.clock.wall();
     const isAllowed = (target: GatewayTarget) =>
-      mayTake(target) && !care.avoidedReleases.includes(readRelease(target.record));
-    const isApart = (target: GatewayTarget) => isAllowed(target) && target.suspectCalls === 0;
-    const isSteady = (target: GatewayTarget) =>
-      isApart(target) && now - target.record.born > STEADY_AGE;
-    for (const isFit of [isSteady, isApart]) {
-      const advice = this.#chooseAmong(isFit, wish, ahead);
+      mayGetCall(target) && !suspect.avoidedReleases.includes(readRelease(target.record));
+    const hasNoSuspects = (target: GatewayTarget) => isAllowed(target) && target.suspectCalls === 0;
+    const isLongRunning = (target: GatewayTarget) =>
+      hasNoSuspects(target) && now - target.record.born > MIN_LONG_RUNNING_AGE_MS;
+    for (const isPreferred of [isLongRunning, hasNoSuspects]) {
+      const choice = this.#chooseAmong(isPreferred, request, callsAhead);
       // A suspect that waited for one of few targets would hold up who waits behind it.
-      if (advice.kind === 'now') return advice;
+      if (choice.kind === 'now') return choice;
     }
-    const advice = this.#chooseAmong(isAllowed, wish, ahead);
-    return advice.kind === 'none' ? { kind: 'none', wait: this.readBackoffRemaining() } : advice;
+    const choice = this.#chooseAmong(isAllowed, request, callsAhead);
+    return choice.kind === 'none' ? { kind: 'none', wait: this.readBackoffRemaining() } : choice;
   }
 
   /** Whether a call may go to a target that has room. */
-  #isOpenTo(target: GatewayTarget, { tried, regions }: PlacementRequest): boolean {
+  #isEligible(target: GatewayTarget, { tried, regions }: PlacementRequest): boolean {
     if (!target.isUsable || tried.has(target)) return false;
-    return regions === undefined || this.#isWithin(target, regions);
+    return regions === undefined || this.#isInRegions(target, regions);
   }
 
-  #isWithin({ record }: GatewayTarget, regions: readonly string[]): boolean {
+  #isInRegions({ record }: GatewayTarget, regions: readonly string[]): boolean {
     const region = this.options.findRegion(record.domain);
     return region !== undefined && regions.includes(region);
   }
 
   /** Advises a call where all that is left has had what it takes: to wait for more of that, if some falls to us. */
-  #adviseLimited(wish: PlacementRequest): TargetChoice<GatewayTarget> {
+  #planRateLimitWait(request: PlacementRequest): TargetChoice<GatewayTarget> {
     let rate = 0;
     for (const target of this.targets.values()) {
-      if (this.#isOpenTo(target, wish)) rate += this.rateLimits.read(target);
+      if (this.#isEligible(target, request)) rate += this.rateLimits.read(target);
     }
-    if (rate === 0) return this.#adviseBackoff(wish);
-    return { kind: 'wait', pace: SECOND / rate / wish.work, slowdown: 1, limit: 'rate-limit' };
+    if (rate === 0) return this.#planBackoffWait(request);
+    return {
+      kind: 'wait',
+      pace: MS_PER_SECOND / rate / request.work,
+      slowdown: 1,
+      limit: 'rate-limit',
+    };
   }
 
   /** Advises a call where every target that it could go to wants nothing for a time. */
-  #adviseBackoff({ tried, regions }: PlacementRequest): TargetChoice<GatewayTarget> {
+  #planBackoffWait({ tried, regions }: PlacementRequest): TargetChoice<GatewayTarget> {
     const now = this.options.clock.now();
     let slots = 0;
     let opensAt = Infinity;
     for (const target of this.targets.values()) {
       if (!target.isBackedOff || tried.has(target)) continue;
-      if (regions !== undefined && !this.#isWithin(target, regions)) continue;
+      if (regions !== undefined && !this.#isInRegions(target, regions)) continue;
       slots += target.record.slots;
       opensAt = Math.min(opensAt, target.availability.backoffUntil);
     }
@@ -262,35 +267,35 @@
   /** Time until the first target takes calls again; undefined where one does, or none has asked for a back-off. */
   readBackoffRemaining(): number | undefined {
     const now = this.options.clock.now();
-    let left: number | undefined;
+    let remaining: number | undefined;
     for (const target of this.targets.values()) {
       if (target.isUsable) return undefined;
       if (!target.isBackedOff) continue;
-      left = Math.min(left ?? Infinity, target.availability.backoffUntil - now);
+      remaining = Math.min(remaining ?? Infinity, target.availability.backoffUntil - now);
     }
-    return left;
+    return remaining;
   }
 
   #chooseAmong(
     isUsable: (target: GatewayTarget) => boolean,
     { bodyBytes }: PlacementRequest,
-    ahead: number,
+    callsAhead: number,
   ): TargetChoice<GatewayTarget> {
     const { random, domain } = this.options;
-    const drawn = drawCandidates(this.#readPool(), { random, isUsable });
+    const candidates = drawCandidates(this.#getCandidatePool(), { random, isUsable });
     const homes = this.options.countHomes();
     const reportingHomes = this.options.countReportingHomes();
-    const terms = {
-      pattern: this.readSlowdownParameters(),
+    const context = {
+      slowdownParameters: this.readSlowdownParameters(),
       domain,
       homes,
       reportingHomes,
       knee: this.knee,
     };
-    return chooseTarget(drawn, (target) => target.createCandidateLoad(terms), {
+    return chooseTarget(candidates, (target) => target.createCandidateLoad(context), {
       ...{
-        callsAhead: ahead,
-        callRatio: this.#measureSharers(homes, reportingHomes),
+        callsAhead,
+        callRatio: this.#measureCallRatio(homes, reportingHomes),
         random,
         bodyBytes,
       },
@@ -302,22 +307,22 @@
    * How many times this daemon's calls all daemons have at the targets: it gets that part of the slots.
    * After a restart callers meet at one home, whose part is nearly all.
    */
-  #measureSharers(homes: number, tellers: number): number {
+  #measureCallRatio(homes: number, reportingHomes: number): number {
     const now = this.options.clock.now();
-    if (now - this.#sharersAt < SHARERS_PACE) return this.#readSharers(homes);
-    this.#sharersAt = now;
-    let own = 0;
-    let all = 0;
-    for (const { load: belief, isUsable } of this.targets.values()) {
+    if (now - this.#callRatioMeasuredAt < CALL_RATIO_INTERVAL_MS) return this.#readCallRatio(homes);
+    this.#callRatioMeasuredAt = now;
+    let ownCalls = 0;
+    let allCalls = 0;
+    for (const { load, isUsable } of this.targets.values()) {
       if (!isUsable) continue;
-      own += belief.inFlight;
-      all += belief.countCalls(now, homes, tellers);
+      ownCalls += load.inFlight;
+      allCalls += load.countCalls(now, homes, reportingHomes);
     }
-    if (own > 0) this.#sharers.add(Math.max(1, all / own), now);
-    return this.#readSharers(homes);
+    if (ownCalls > 0) this.#callRatio.add(Math.max(1, allCalls / ownCalls), now);
+    return this.#readCallRatio(homes);
   }
 
-  #readSharers(homes: number): number {
-    return Math.min(Math.max(1, homes), this.#sharers.read(homes));
+  #readCallRatio(homes: number): number {
+    return Math.min(Math.max(1, homes), this.#callRatio.read(homes));
   }
 }
--- a/src/gateway/targets/target-set.ts
+++ b/src/gateway/targets/target-set.ts
@@ -7,7 +7,7 @@
 import { TargetService, type TargetServiceOptions } from './target-service.js';
 
 /** A daemon to which no call has come for this long serves none. */
-const SERVING_TIME = 1000;
+const SERVING_TIMEOUT_MS = 1000;
 
 /** What the set is made from. */
 export interface TargetSetOptions extends TargetServiceOptions {
@@ -18,50 +18,50 @@
 export class TargetSet {
   readonly #services = new Map<string, TargetService>();
 
-  readonly #byHash = new Map<number, GatewayTarget>();
+  readonly #targetsByHash = new Map<number, GatewayTarget>();
 
-  #lessons: LearnedState['services'] = {};
+  #learnedState: LearnedState['services'] = {};
 
   /** Services without a target that takes calls. */
-  readonly #deserted = new Set<TargetService>();
+  readonly #unavailableServices = new Set<TargetService>();
 
   /** Connections opened to targets since the start. */
   connectionsOpened = 0;
 
-  readonly #standings: AvailabilityCache;
+  readonly #availabilityCache: AvailabilityCache;
 
   constructor(private readonly options: TargetSetOptions) {
-    this.#standings = new AvailabilityCache(options.clock);
+    this.#availabilityCache = new AvailabilityCache(options.clock);
   }
 
   /** Finds a service, known or not: targets may appear before or after the configuration. */
   getService(name: string): TargetService {
-    const known = this.#services.get(name);
-    if (known !== undefined) return known;
+    const existing = this.#services.get(name);
+    if (existing !== undefined) return existing;
     const service = new TargetService(name, this.options);
-    const lesson = this.#lessons[name];
-    if (lesson !== undefined) service.restoreLearnedState(lesson);
+    const state = this.#learnedState[name];
+    if (state !== undefined) service.restoreLearnedState(state);
     this.#services.set(name, service);
     return service;
   }
 
   /** Takes what others have learnt of services. */
-  restoreLearnedState(lessons: LearnedState['services']): void {
-    this.#lessons = lessons;
+  restoreLearnedState(learnedState: LearnedState['services']): void {
+    this.#learnedState = learnedState;
     for (const [name, service] of this.#services) {
-      const lesson = lessons[name];
-      if (lesson !== undefined) service.restoreLearnedState(lesson);
+      const state = learnedState[name];
+      if (state !== undefined) service.restoreLearnedState(state);
     }
   }
 
   /** What has been learnt here of services. */
   readLearnedState(): LearnedState['services'] {
-    const lessons: Record<string, LearnedServiceState> = {};
+    const learnedState: Record<string, LearnedServiceState> = {};
     for (const [name, service] of this.#services) {
-      const lesson = service.readLearnedState();
-      if (lesson !== undefined) lessons[name] = lesson;
+      const state = service.readLearnedState();
+      if (state !== undefined) learnedState[name] = state;
     }
-    return lessons;
+    return learnedState;
   }
 
   /** The services in use. */
@@ -80,9 +80,9 @@
         // A later start under the same name knows nothing of this one: it is another target.
         if (record?.service === service.name && record.born === target.record.born) continue;
         service.targets.delete(incarnation);
-        service.noteChange();
-        this.#byHash.delete(target.hash);
-        this.#standings.keep(target.record, target.availability);
+        service.clearCandidatePool();
+        this.#targetsByHash.delete(target.hash);
+        this.#availabilityCache.keep(target.record, target.availability);
         target.close(record !== undefined && record.born > target.record.born);
       }
     }
@@ -90,49 +90,51 @@
     for (const [incarnation, entry] of listed) {
       const isEvacuated = evacuated.has(entry.record.domain);
       const service = this.getService(entry.record.service);
-      const { targets, slowdownModel: memory } = service;
-      const known = targets.get(incarnation);
-      if (known !== undefined) {
-        if (known.record.domain !== entry.record.domain) service.noteChange();
+      const { targets, slowdownModel } = service;
+      const existing = targets.get(incarnation);
+      if (existing !== undefined) {
+        if (existing.record.domain !== entry.record.domain) service.clearCandidatePool();
         // Nobody asked it meanwhile, and it may have turned cold.
-        if (known.isEvacuated && !isEvacuated) {
-          known.warmUp.suspectCold(this.options.clock.now() + this.#readColdTime(service));
+        if (existing.isEvacuated && !isEvacuated) {
+          existing.warmUp.suspectCold(
+            this.options.clock.now() + this.#readColdStartDuration(service),
+          );
         }
-        known.update(entry, isEvacuated);
+        existing.update(entry, isEvacuated);
         continue;
       }
-      const onOpened = () => {
+      const onConnectionOpened = () => {
         this.connectionsOpened += 1;
       };
       const { clock, listener } = this.options;
-      const standing = this.#standings.find(entry.record);
+      const availability = this.#availabilityCache.find(entry.record);
       const target = new GatewayTarget(entry, clock, {
-        slowdownModel: memory,
-        onConnectionOpened: onOpened,
+        slowdownModel,
+        onConnectionOpened,
         listener,
-        availability: standing,
+        availability,
       });
       target.update(entry, isEvacuated);
       targets.set(incarnation, target);
-      service.noteChange();
-      this.#byHash.set(target.hash, target);
+      service.clearCandidatePool();
+      this.#targetsByHash.set(target.hash, target);
     }
   }
 
   /** Where nothing limits what cold targets get, none is taken for cold on suspicion. */
-  #readColdTime({ name }: TargetService): number {
-    const { rate, duration: time } = this.options.readColdStartLimits(name);
-    return rate === Infinity ? 0 : time;
+  #readColdStartDuration({ name }: TargetService): number {
+    const { rate, duration } = this.options.readColdStartLimits(name);
+    return rate === Infinity ? 0 : duration;
   }
 
   /** Whether calls come to this daemon, be it a few a second. */
   isServing(now: number): boolean {
-    return this.listServices().some((service) => now - service.lastCallAt < SERVING_TIME);
+    return this.listServices().some((service) => now - service.lastCallAt < SERVING_TIMEOUT_MS);
   }
 
   /** Finds a target by the number that stands for it between daemons. */
   findByHash(hash: number): GatewayTarget | undefined {
-    return this.#byHash.get(hash);
+    return this.#targetsByHash.get(hash);
   }
 
   /** Closes connections that have rested too long, and tells of services that no target takes calls of. */
@@ -142,18 +144,18 @@
         target.connections.closeExpired();
         target.checkBackoffEnd();
       }
-      this.#reviewService(service);
+      this.#checkAvailability(service);
     }
   }
 
-  #reviewService(service: TargetService): void {
-    const usable = service.countUsable();
-    const isDeserted = usable === 0;
-    if (isDeserted === this.#deserted.has(service)) return;
-    if (isDeserted) this.#deserted.add(service);
-    else this.#deserted.delete(service);
+  #checkAvailability(service: TargetService): void {
+    const usableTargets = service.countUsable();
+    const isUnavailable = usableTargets === 0;
+    if (isUnavailable === this.#unavailableServices.has(service)) return;
+    if (isUnavailable) this.#unavailableServices.add(service);
+    else this.#unavailableServices.delete(service);
     const { listener } = this.options;
-    if (isDeserted) listener.onServiceUnavailable(service);
-    else listener.onServiceAvailable(service, usable);
+    if (isUnavailable) listener.onServiceUnavailable(service);
+    else listener.onServiceAvailable(service, usableTargets);
   }
 }
--- a/src/gateway/targets/target.ts
+++ b/src/gateway/targets/target.ts
@@ -30,35 +30,35 @@
 import type { TargetListener } from './target-events.js';
 
 /** A target where a call is stuck is avoided for this long, in milliseconds, unless another one is. */
-const STUCK_TIME = 1500;
+const STUCK_AVOIDANCE_MS = 1500;
 
 /** A target that ran slow after its start works this many times longer at first; told by the users. */
-const COLD_FACTOR = 2;
+const COLD_START_SLOWDOWN = 2;
 
 /** A target that has spoilt the order of answers gets a new connection for each call this long. */
-const SUSPECT_TIME = 10_000;
+const NO_REUSE_MS = 10_000;
 
 /**
  * A call that was lost this long before a later start of the target was heard of may have ended it, in milliseconds:
  * some heartbeats, as a supervisor may start a process again before anybody finds that nobody listens.
  */
-const LOSS_LIFE = 5000;
+const LOSS_RETENTION_MS = 5000;
 
 /** Calls remembered as lost: some times what a target runs at once. */
-const MOST_LOSSES = 32;
+const MAX_LOSSES = 32;
 
-interface Loss {
+interface LostCall {
   readonly at: number;
   readonly onEnded: () => void;
 }
 
 /** Reports this slow make calls there look for another target. */
-const SLOW = 2.5;
+const SLOW_THRESHOLD = 2.5;
 
 /** What a view of a target depends on besides the target. */
 export interface CandidateContext {
   /** How slow the targets of the service are, and for how long one stays so. */
-  readonly pattern: SlowdownParameters;
+  readonly slowdownParameters: SlowdownParameters;
   /** The failure domain of this daemon. */
   readonly domain: string;
   /** Daemons that send calls to the target. */
@@ -124,24 +124,24 @@
   /** Stands for the incarnation in datagrams between daemons. */
   readonly hash: number;
 
-  #listed: ListedTarget;
+  #entry: ListedTarget;
 
-  #ill = false;
+  #isUnhealthy = false;
 
-  #stuckUntil = -Infinity;
+  #avoidedUntil = -Infinity;
 
-  #suspectUntil = -Infinity;
+  #noReuseUntil = -Infinity;
 
-  #misdirected = false;
+  #isMisdirected = false;
 
-  #isToldBackedOff = false;
+  #isBackoffReported = false;
 
-  #isGone = false;
+  #isClosed = false;
 
   #isEvacuated = false;
 
   /** Calls that were lost here of late, and whom to tell if the target turns out to have ended then. */
-  #losses: readonly Loss[] = [];
+  #lostCalls: readonly LostCall[] = [];
 
   /** Calls from here under which targets have ended before. */
   suspectCalls = 0;
@@ -153,36 +153,36 @@
   readonly slowListeners = new Set<() => void>();
 
   constructor(
-    listed: ListedTarget,
+    entry: ListedTarget,
     private readonly clock: Clock,
     private readonly options: GatewayTargetOptions,
   ) {
-    const { slowdownModel: memory, onConnectionOpened: onOpened, availability: standing } = options;
-    this.availability = standing;
-    this.#listed = listed;
-    this.warmUp.suspectCold(listed.coldUntil);
-    this.slowdownHistory = new SlowdownHistory(memory);
-    this.hash = hashIncarnation(listed.record.incarnation, listed.record.born);
-    this.connections = new TargetConnections(listed.record.address, clock, onOpened);
+    const { slowdownModel, onConnectionOpened, availability } = options;
+    this.availability = availability;
+    this.#entry = entry;
+    this.warmUp.suspectCold(entry.coldUntil);
+    this.slowdownHistory = new SlowdownHistory(slowdownModel);
+    this.hash = hashIncarnation(entry.record.incarnation, entry.record.born);
+    this.connections = new TargetConnections(entry.record.address, clock, onConnectionOpened);
   }
 
   /** The target's entry. */
   get record(): TargetRecord {
-    return this.#listed.record;
+    return this.#entry.record;
   }
 
   /** Whether new calls may go there. */
   get isUsable(): boolean {
-    return this.#isOpen && !this.availability.isBackedOff(this.clock.now());
+    return this.#isEligible && !this.availability.isBackedOff(this.clock.now());
   }
 
   /** Whether it wants nothing from this daemon for a time, and would get calls otherwise. */
   get isBackedOff(): boolean {
-    return this.#isOpen && this.availability.isBackedOff(this.clock.now());
+    return this.#isEligible && this.availability.isBackedOff(this.clock.now());
   }
 
-  get #isOpen(): boolean {
-    return !this.#isLeaving && !this.#misdirected && !this.#isEvacuated;
+  get #isEligible(): boolean {
+    return !this.#isLeaving && !this.#isMisdirected && !this.#isEvacuated;
   }
 
   /**
@@ -191,30 +191,30 @@
    */
   async checkEnded(): Promise<boolean> {
     if (this.#isLeaving) return false;
-    const presence = await this.connections.checkListening();
-    return presence === 'nobody' && !this.#isLeaving;
+    const listenState = await this.connections.checkListening();
+    return listenState === 'nobody' && !this.#isLeaving;
   }
 
   /** Notes that a call was lost here, without a sign that the target ended. */
   recordLoss(onEnded: () => void): void {
     const at = this.clock.now();
-    const young = this.#losses.filter((loss) => at - loss.at < LOSS_LIFE);
-    this.#losses = [...young, { at, onEnded }].slice(-MOST_LOSSES);
+    const recent = this.#lostCalls.filter((loss) => at - loss.at < LOSS_RETENTION_MS);
+    this.#lostCalls = [...recent, { at, onEnded }].slice(-MAX_LOSSES);
   }
 
-  /** Notes that the target is in use no more. @param isReborn whether a later start took its name */
-  close(isReborn: boolean): void {
-    this.#isGone = true;
+  /** Notes that the target is in use no more. @param isRestarted whether a later start took its name */
+  close(isRestarted: boolean): void {
+    this.#isClosed = true;
     this.connections.close();
-    const losses = this.#losses;
-    this.#losses = [];
-    if (!isReborn || this.#isDraining) return;
+    const lostCalls = this.#lostCalls;
+    this.#lostCalls = [];
+    if (!isRestarted || this.#isDraining) return;
     const now = this.clock.now();
-    for (const { at, onEnded } of losses) if (now - at < LOSS_LIFE) onEnded();
+    for (const { at, onEnded } of lostCalls) if (now - at < LOSS_RETENTION_MS) onEnded();
   }
 
   get #isLeaving(): boolean {
-    return this.#isGone || this.#isDraining;
+    return this.#isClosed || this.#isDraining;
   }
 
   get #isDraining(): boolean {
@@ -226,15 +226,15 @@
    *
    * @param isEvacuated whether its failure domain takes no calls
    */
-  update(listed: ListedTarget, isEvacuated: boolean): void {
-    if (listed.coldUntil !== this.#listed.coldUntil) this.warmUp.suspectCold(listed.coldUntil);
-    this.#listed = listed;
+  update(entry: ListedTarget, isEvacuated: boolean): void {
+    if (entry.coldUntil !== this.#entry.coldUntil) this.warmUp.suspectCold(entry.coldUntil);
+    this.#entry = entry;
     this.#isEvacuated = isEvacuated;
   }
 
   /** Whether another incarnation answers at its address. */
   get isMisdirected(): boolean {
-    return this.#misdirected;
+    return this.#isMisdirected;
   }
 
   /** Whether its failure domain takes no calls. */
@@ -251,21 +251,21 @@
 
   /** Views the target for the choice. */
   createCandidateLoad({
-    pattern,
+    slowdownParameters,
     domain,
     homes,
-    reportingHomes: tellers,
+    reportingHomes,
     knee,
   }: CandidateContext): CandidateLoad {
     const now = this.clock.now();
     return {
       slots: knee.findConcurrencyLimit(this.record.slots),
-      calls: this.load.countCalls(now, homes, tellers),
-      slowdown: this.slowdownHistory.estimate(now, pattern),
-      coldFactor: this.warmUp.isCold(now) ? COLD_FACTOR : 1,
+      calls: this.load.countCalls(now, homes, reportingHomes),
+      slowdown: this.slowdownHistory.estimate(now, slowdownParameters),
+      coldFactor: this.warmUp.isCold(now) ? COLD_START_SLOWDOWN : 1,
       failureRatio: this.failureRate.read(now),
       // What runs beside a suspect may end with it, so others go elsewhere while there is room.
-      isSuspect: this.#ill || now < this.#stuckUntil || this.suspectCalls > 0,
+      isSuspect: this.#isUnhealthy || now < this.#avoidedUntil || this.suspectCalls > 0,
       isOtherDomain: this.record.domain !== domain,
     };
   }
@@ -283,35 +283,32 @@
 
   /** Notes that a call has been there for far too long. */
   recordStuckCall(): void {
-    this.#stuckUntil = this.clock.now() + STUCK_TIME;
+    this.#avoidedUntil = this.clock.now() + STUCK_AVOIDANCE_MS;
   }
 
   /** Notes that bytes came that belong to no call: connections are not used twice for a while. */
   recordStrayBytes(): void {
-    this.#suspectUntil = this.clock.now() + SUSPECT_TIME;
+    this.#noReuseUntil = this.clock.now() + NO_REUSE_MS;
     this.connections.close();
   }
 
   /** Whether a connection may carry a second call. */
   get isReuseSafe(): boolean {
-    return this.clock.now() >= this.#suspectUntil;
+    return this.clock.now() >= this.#noReuseUntil;
   }
 
   /** Notes that another incarnation answers at this address. */
   recordMisdirected(): void {
-    this.#misdirected = true;
+    this.#isMisdirected = true;
   }
 
   /** Takes the outcome of a health check. */
-  recordHealth(healthy: boolean): void {
-    this.#ill = !healthy;
+  recordHealth(isHealthy: boolean): void {
+    this.#isUnhealthy = !isHealthy;
   }
 
   /** Takes what the head of an answer says. */
-  receiveReport(
-    report: SelfReport,
-    { sentAt: askedAt, ownCalls: own, isSuccess: isGood }: ReportOrigin,
-  ): void {
+  receiveReport(report: SelfReport, { sentAt, ownCalls, isSuccess }: ReportOrigin): void {
     const { incarnation = this.record.incarnation } = report;
     if (report.isMisdirected || incarnation !== this.record.incarnation) {
       this.recordMisdirected();
@@ -319,107 +316,107 @@
     }
     const now = this.clock.now();
     if (report.coldLeft !== undefined) this.warmUp.observe(report.coldLeft, now);
-    this.recordLoad(report.load, own);
-    if (isGood || report.rate.kind !== 'silent') this.#noteRate(report.rate, askedAt);
+    this.recordLoad(report.load, ownCalls);
+    if (isSuccess || report.rate.kind !== 'silent') this.#receiveRate(report.rate, sentAt);
     this.receiveDraining(report.draining);
-    this.#noteBackoff(report.backoff);
+    this.#receiveBackoff(report.backoff);
   }
 
   /** Takes whether an answer says that the target drains. */
-  receiveDraining(stated: ReportedDraining): void {
+  receiveDraining(reported: ReportedDraining): void {
     const { listener } = this.options;
-    if (stated.kind === 'unreadable') {
-      listener.onUnreadableHeader(this, { field: 'draining', what: stated.text });
+    if (reported.kind === 'unreadable') {
+      listener.onUnreadableHeader(this, { field: 'draining', value: reported.text });
     }
-    if (stated.kind === 'draining') this.#takeDraining(this.clock.now());
+    if (reported.kind === 'draining') this.#recordDraining(this.clock.now());
   }
 
   /** Takes it from another daemon that the target drains. @param age how long ago it said so, in milliseconds */
   receivePeerDraining(from: string, age: number): void {
-    this.#takeDraining(this.clock.now() - age, from);
+    this.#recordDraining(this.clock.now() - age, from);
   }
 
-  #takeDraining(at: number, from?: string): void {
+  #recordDraining(at: number, from?: string): void {
     if (!this.availability.recordDraining({ at, isDirect: from === undefined })) return;
     this.options.listener.onDraining(this, from ?? 'target', this.clock.now() - at);
   }
 
-  #noteBackoff(stated: ReportedBackoff): void {
+  #receiveBackoff(reported: ReportedBackoff): void {
     const { listener } = this.options;
-    if (stated.kind === 'unreadable') {
-      listener.onUnreadableHeader(this, { field: 'backoff', what: stated.text });
+    if (reported.kind === 'unreadable') {
+      listener.onUnreadableHeader(this, { field: 'backoff', value: reported.text });
     }
-    if (stated.kind !== 'asked') return;
-    if (this.availability.recordBackoff(stated.time, this.clock.now())) {
-      this.#isToldBackedOff = true;
-      listener.onBackoff(this, stated.time);
+    if (reported.kind !== 'asked') return;
+    if (this.availability.recordBackoff(reported.time, this.clock.now())) {
+      this.#isBackoffReported = true;
+      listener.onBackoff(this, reported.time);
     }
   }
 
   /** Tells once that a back-off is over. */
   checkBackoffEnd(): void {
-    if (!this.#isToldBackedOff || this.availability.isBackedOff(this.clock.now())) return;
-    this.#isToldBackedOff = false;
+    if (!this.#isBackoffReported || this.availability.isBackedOff(this.clock.now())) return;
+    this.#isBackoffReported = false;
     this.options.listener.onBackoffEnd(this);
   }
 
-  /** Takes a load report. @param own this daemon's calls that the report may count */
-  recordLoad(report: LoadReport | undefined, own: number): void {
+  /** Takes a load report. @param ownCalls this daemon's calls that the report may count */
+  recordLoad(report: LoadReport | undefined, ownCalls: number): void {
     if (report === undefined) return;
     const before = this.load.lastSlowdown;
-    this.load.observeReport(report, own, this.clock.now());
+    this.load.observeReport(report, ownCalls, this.clock.now());
     this.slowdownHistory.record(report.slowdown, this.clock.now());
-    this.#wakeIfSlow(before);
+    this.#announceIfSlow(before);
   }
 
   /**
    * Takes what an answer says of the rate.
    *
-   * @param askedAt when the call was sent: an answer that names no rate was made after that, and nothing else is known
+   * @param sentAt when the call was sent: an answer that names no rate was made after that, and nothing else is known
    *   of when, so it ends no rate that was named since
    */
-  #noteRate(stated: ReportedRate, askedAt: number): void {
-    switch (stated.kind) {
+  #receiveRate(reported: ReportedRate, sentAt: number): void {
+    switch (reported.kind) {
       case 'named':
-        this.#takeRate({ rate: stated.rate, at: this.clock.now() });
+        this.#recordRate({ rate: reported.rate, at: this.clock.now() });
         return;
       case 'unreadable':
-        this.options.listener.onUnreadableHeader(this, { field: 'rate', what: stated.text });
-        this.#takeRate({ rate: undefined, at: askedAt });
+        this.options.listener.onUnreadableHeader(this, { field: 'rate', value: reported.text });
+        this.#recordRate({ rate: undefined, at: sentAt });
         return;
       case 'silent':
-        this.#takeRate({ rate: undefined, at: askedAt });
+        this.#recordRate({ rate: undefined, at: sentAt });
         return;
       default:
-        stated satisfies never;
+        reported satisfies never;
     }
   }
 
   /** @param home the daemon that told of it, when the target itself did not */
-  #takeRate(told: RateAnnouncement, home?: string): void {
+  #recordRate(announcement: RateAnnouncement, home?: string): void {
     const now = this.clock.now();
-    const change = this.advertisedRate.observe(told, now, home === undefined);
+    const change = this.advertisedRate.observe(announcement, now, home === undefined);
     if (change === undefined) return;
     const { listener } = this.options;
-    listener.onRateChange(this, { ...change, age: now - told.at, from: home ?? 'target' });
+    listener.onRateChange(this, { ...change, age: now - announcement.at, from: home ?? 'target' });
   }
 
   /** Takes what another home knows of the target. */
   receivePeerLoad(
     home: string,
-    { inFlight, slowdown, age, advertisedRate: named }: TargetLoadReport,
+    { inFlight, slowdown, age, advertisedRate: rate }: TargetLoadReport,
   ): void {
     const now = this.clock.now();
-    if (named !== undefined) this.#takeRate({ rate: named.rate, at: now - named.age }, home);
+    if (rate !== undefined) this.#recordRate({ rate: rate.rate, at: now - rate.age }, home);
     const before = this.load.lastSlowdown;
     this.load.observeHomeCalls(home, inFlight, now);
-    const isNews = slowdown !== undefined && this.load.observeSlowdown(slowdown, now - age);
-    if (isNews) this.slowdownHistory.record(slowdown, now - age);
-    this.#wakeIfSlow(before);
+    const isNewer = slowdown !== undefined && this.load.observeSlowdown(slowdown, now - age);
+    if (isNewer) this.slowdownHistory.record(slowdown, now - age);
+    this.#announceIfSlow(before);
   }
 
-  #wakeIfSlow(before: number): void {
-    if (before >= SLOW || this.load.lastSlowdown < SLOW) return;
-    for (const wake of [...this.slowListeners]) wake();
+  #announceIfSlow(before: number): void {
+    if (before >= SLOW_THRESHOLD || this.load.lastSlowdown < SLOW_THRESHOLD) return;
+    for (const listener of [...this.slowListeners]) listener();
   }
 }
