--- a/src/gateway/targets/prober.ts
+++ b/src/gateway/targets/prober.ts
@@ -88,13 +88,13 @@
  * A target that gets calls from here all the time is asked this often, in milliseconds, whether it has turned cold:
  * its answers to calls don't tell. What it gets meanwhile has to fit what it may get within one second.
  */
-const COLD_CHECK_INTERVAL_MS = 400;
+const COLD_CHECK_MS = 400;
 
 /** A target in need, which names the rate that it takes, is asked no more often than this, in milliseconds. */
 const MIN_LIMITED_INTERVAL_MS = 1000;
 
 /** From this many calls of late on that is worth a probe. */
-const MIN_COLD_CHECK_CALLS = 2;
+const COLD_CHECK_CALLS = 2;
 
 /** How the targets of one service are probed in one turn; times in milliseconds. */
 interface ProbePlan {
@@ -303,10 +303,7 @@
 
   #mayBeCold({ recentSends, warmUp }: GatewayTarget): boolean {
     const now = this.options.clock.now();
-    return (
-      recentSends.count(now) >= MIN_COLD_CHECK_CALLS &&
-      now - warmUp.reportedAt >= COLD_CHECK_INTERVAL_MS
-    );
+    return recentSends.count(now) >= COLD_CHECK_CALLS && now - warmUp.reportedAt >= COLD_CHECK_MS;
   }
 
   async #probe(service: TargetService, target: GatewayTarget, path: string): Promise<void> {
--- a/src/gateway/targets/slot-queue.ts
+++ b/src/gateway/targets/slot-queue.ts
@@ -107,9 +107,7 @@
       case 'wait': {
         this.#updatePace(call, choice);
         const admission = this.#waiting.judge(call);
-        return (
-          this.#refuseIfHopeless(call, admission) ?? this.#wait(call, admission.kind === 'in-time')
-        );
+        return this.#tryRefuse(call, admission) ?? this.#wait(call, admission.kind === 'in-time');
       }
       default:
         return choice satisfies never;
@@ -169,7 +167,7 @@
     return { kind: 'refused', reason: 'backoff', wait: this.#waiting.chooseRetryDelay(wait) };
   }
 
-  #refuseIfHopeless(call: SlotCall, admission: Admission): PlacementResult | undefined {
+  #tryRefuse(call: SlotCall, admission: Admission): PlacementResult | undefined {
     if (admission.kind !== 'refuse' || !call.isWorkKnown) return undefined;
     // A slot may free sooner than expected, so a repeat waits on for one; what targets take is known.
     if (!call.mayBeRefused && this.#limitReason === undefined) return undefined;
--- a/src/gateway/targets/target-events.ts
+++ b/src/gateway/targets/target-events.ts
@@ -17,7 +17,7 @@
 /** A header of a target's answer that could not be read. */
 export interface UnreadableHeader {
   readonly field: 'rate' | 'draining' | 'backoff';
-  readonly value: string;
+  readonly what: string;
 }
 
 /** What is told when a target says something new of itself. */
@@ -89,10 +89,10 @@
     this.log.info('service.served', { service: name, targets: targets.size, usable });
   }
 
-  onUnreadableHeader({ record }: GatewayTarget, { field, value }: UnreadableHeader): void {
+  onUnreadableHeader({ record }: GatewayTarget, { field, what }: UnreadableHeader): void {
     const { incarnation, service } = record;
     this.log.warn(`${field}.unreadable`, {
-      ...{ target: incarnation, what: value, expected: EXPECTED_FORMATS[field] },
+      ...{ target: incarnation, what, expected: EXPECTED_FORMATS[field] },
     });
     this.metrics.count(`${field}_unreadable`, { service });
   }
--- a/src/gateway/targets/target.ts
+++ b/src/gateway/targets/target.ts
@@ -326,7 +326,7 @@
   receiveDraining(reported: ReportedDraining): void {
     const { listener } = this.options;
     if (reported.kind === 'unreadable') {
-      listener.onUnreadableHeader(this, { field: 'draining', value: reported.text });
+      listener.onUnreadableHeader(this, { field: 'draining', what: reported.text });
     }
     if (reported.kind === 'draining') this.#recordDraining(this.clock.now());
   }
@@ -344,7 +344,7 @@
   #receiveBackoff(reported: ReportedBackoff): void {
     const { listener } = this.options;
     if (reported.kind === 'unreadable') {
-      listener.onUnreadableHeader(this, { field: 'backoff', value: reported.text });
+      listener.onUnreadableHeader(this, { field: 'backoff', what: reported.text });
     }
     if (reported.kind !== 'asked') return;
     if (this.availability.recordBackoff(reported.time, this.clock.now())) {
@@ -381,7 +381,7 @@
         this.#recordRate({ rate: reported.rate, at: this.clock.now() });
         return;
       case 'unreadable':
-        this.options.listener.onUnreadableHeader(this, { field: 'rate', value: reported.text });
+        this.options.listener.onUnreadableHeader(this, { field: 'rate', what: reported.text });
         this.#recordRate({ rate: undefined, at: sentAt });
         return;
       case 'silent':
@@ -404,10 +404,11 @@
   /** Takes what another home knows of the target. */
   receivePeerLoad(
     home: string,
-    { inFlight, slowdown, age, advertisedRate: rate }: TargetLoadReport,
+    { inFlight, slowdown, age, advertisedRate }: TargetLoadReport,
   ): void {
     const now = this.clock.now();
-    if (rate !== undefined) this.#recordRate({ rate: rate.rate, at: now - rate.age }, home);
+    if (advertisedRate !== undefined)
+      this.#recordRate({ rate: advertisedRate.rate, at: now - advertisedRate.age }, home);
     const before = this.load.lastSlowdown;
     this.load.observeHomeCalls(home, inFlight, now);
     const isNewer = slowdown !== undefined && this.load.observeSlowdown(slowdown, now - age);
