--- a/src/gateway/fleet/address-choice.ts
+++ b/src/gateway/fleet/address-choice.ts
@@ -1,22 +1,26 @@
 /**
- * Which homes a caller is told: the near ones, and one more for when those are gone.
+ * Chooses the homes whose addresses a caller gets: those in its failure domain, and one spare for
+ * when they are gone.
  *
- * The pattern answered: homes of very different strength. Callers take any of the addresses that they are told, each
- * as often as another, so a machine with a fifth of a core got as many calls as one with a whole core, was busy all
- * the time, and made the first home plan for more homes, all of them weak. So a home is named the less often the
- * weaker it is.
+ * It serves homes of very different capacity. Callers use each address that they get equally often.
+ * So a machine with a fifth of a core would get as many calls as one with a whole core, be busy all
+ * the time, and make the first home plan for more homes, all of them weak. Therefore a home is
+ * included with a probability in proportion to its capacity.
  */
 import type { Random } from '../../kernel/index.js';
 import type { MemberInfo } from '../../peering/index.js';
 
-/** A home that has at least this part of the strongest one's cores may be a spare. */
+/** Smallest capacity of a spare, as a fraction of the strongest home's. */
 const MIN_SPARE_CAPACITY_FRACTION = 0.5;
 
 function findMaxCapacity(homes: readonly MemberInfo[]): number {
   return Math.max(0, ...homes.map(({ capacity }) => capacity));
 }
 
-/** Draws homes, each as often as it has cores; the strongest ones always. */
+/**
+ * Draws homes with a probability in proportion to their capacity; the strongest are always
+ * included.
+ */
 function drawByCapacity(homes: readonly MemberInfo[], random: Random): readonly MemberInfo[] {
   const maxCapacity = findMaxCapacity(homes);
   return homes.filter(({ capacity }) => random.next() * maxCapacity < capacity);
@@ -25,8 +29,8 @@
 /**
  * Chooses the homes for a caller in a failure domain.
  *
- * The spare is the home that follows the near ones in order: a caller whose only address is gone has
- * nowhere to go. Each home is the spare of one other, so none gets more than its part.
+ * The spare is the home that follows the near ones in order, because a caller whose only address is
+ * gone has nowhere to go. Each home is the spare for one other, so none gets more than its part.
  */
 export function chooseHomes(
   homes: readonly MemberInfo[],
--- a/src/gateway/fleet/fleet-role.ts
+++ b/src/gateway/fleet/fleet-role.ts
@@ -1,48 +1,51 @@
-/** Where this daemon stands among the others: whether it is a home, which duties fall to it, what part of the fleet it has. */
+/**
+ * The role of this daemon in the fleet: whether it is a home (a daemon that callers are directed
+ * to), which duties it has for all daemons, and which part of shared rates it may use.
+ */
 import type { FleetShare } from '../../balance/index.js';
 import type { Clock } from '../../kernel/index.js';
 import type { PeerLink, Roster } from '../../peering/index.js';
 
-/** What the place is made from. */
+/** Options of the role. */
 export interface FleetRoleOptions {
   readonly clock: Clock;
-  /** The daemons known, once there is a roster. */
+  /** Returns the known daemons. Called only once there is a roster. */
   readonly readRoster: () => Roster;
   readonly self: string;
-  /** The link to the others, once it is made. */
+  /** Returns the link to the other daemons. Called only once there is one. */
   readonly readLink: () => Pick<PeerLink, 'hasJoined' | 'countPollers' | 'countHomePollers'>;
-  /** Daemons that the store's list named; the roster may know fewer at first. */
+  /** Counts the daemons in the store's list; the roster may know fewer at first. */
   readonly countListedDaemons: () => number;
 }
 
-/** Readers of the store: two, so that one may die without anybody noticing late. */
+/** Homes that read the store: two, so that one may fail without delaying updates. */
 const STORE_READERS = 2;
 
-/** Daemons ask homes four times a second; after this long, in milliseconds, all that are there have asked. */
+/** Daemons poll homes four times a second; after this time all that are up have done so. */
 const SETTLE_TIME_MS = 1500;
 
-/** The place of one daemon. */
+/** The role of one daemon. */
 export class FleetRole {
   #startedAt = -Infinity;
 
   constructor(private readonly options: FleetRoleOptions) {}
 
-  /** Notes that this daemon starts. */
+  /** Records the start of this daemon. */
   start(): void {
     this.#startedAt = this.options.clock.now();
   }
 
-  /** How long this daemon has run, in milliseconds. */
+  /** Time since the start of this daemon, in milliseconds. */
   get age(): number {
     return this.options.clock.now() - this.#startedAt;
   }
 
-  /** Whether it has just started, so that it may not know the others yet, nor they it. */
+  /** Whether this daemon has just started, so that it may not know the others yet, nor they it. */
   get isNew(): boolean {
     return this.age < SETTLE_TIME_MS;
   }
 
-  /** IP numbers of the homes, in order. */
+  /** IP addresses of the homes, in order. */
   listHomes(): readonly string[] {
     return this.options
       .readRoster()
@@ -55,17 +58,20 @@
     return this.listHomes().includes(this.options.self);
   }
 
-  /** Whether what one daemon does for all falls to this one. */
+  /** Whether this daemon is the first home, which does what a single daemon does for all. */
   isFirstHome(): boolean {
     return this.listHomes()[0] === this.options.self;
   }
 
-  /** Whether it reads the store for all, as the first homes do. */
+  /** Whether this daemon reads the store for all, as the first homes do. */
   isDesignatedReader(): boolean {
     return this.listHomes().slice(0, STORE_READERS).includes(this.options.self);
   }
 
-  /** What this daemon stands for in the fleet; it has no part of it before it can know the fleet. */
+  /**
+   * Returns this daemon's part of the fleet, on which its part of shared rates depends. The part is
+   * 0 until the daemon can know the fleet.
+   */
   readShare(): FleetShare {
     const { self, readRoster, readLink, countListedDaemons } = this.options;
     const link = readLink();
@@ -75,7 +81,10 @@
     return { part: Math.min(1, link.countHomePollers() / members), homes, self };
   }
 
-  /** Counts the daemons known and those present; everybody is taken for present until all have had the time to ask. */
+  /**
+   * Counts the daemons known and those present, which poll this daemon or another home. All known
+   * ones count as present until each has had the time to poll this one.
+   */
   countDaemons(): { readonly members: number; readonly present: number } {
     const { readRoster, readLink } = this.options;
     const roster = readRoster();
--- a/src/gateway/fleet/home-planner.ts
+++ b/src/gateway/fleet/home-planner.ts
@@ -1,21 +1,23 @@
-/** Measures how busy this daemon is and, while it is the first home, plans how many homes there are. */
+/**
+ * Measures the utilisation of this daemon and, while it is the first home, plans the number of
+ * homes.
+ */
 import type { Clock, Log } from '../../kernel/index.js';
 import { HomeScaler, type Roster } from '../../peering/index.js';
 import { UtilisationMeter, createUtilisationReader } from './utilisation-meter.js';
 
-/** What the planner is made from. */
+/** Options of the planner. */
 export interface HomePlannerOptions {
   readonly clock: Clock;
   readonly log: Log;
   readonly roster: Roster;
-  /** IP number of this daemon, and its cores. */
+  /** IP address of this daemon, and its capacity in cores. */
   readonly self: string;
   readonly capacity: number;
-  /** Homes that the settings ask for at least. */
+  /** Returns the smallest number of homes, from the settings. */
   readonly readMinHomes: () => number;
 }
 
-/** Time between two looks, in milliseconds. */
 const PLAN_INTERVAL_MS = 500;
 
 /** The planner of one daemon. */
@@ -30,7 +32,7 @@
     this.#meter = new UtilisationMeter(options.clock, createUtilisationReader());
   }
 
-  /** The part of its time in which this daemon was at work of late, from 0 to 1. */
+  /** Recent utilisation of this daemon, from 0 to 1. */
   get utilisation(): number {
     return this.#utilisation;
   }
--- a/src/gateway/fleet/knowledge-exchange.ts
+++ b/src/gateway/fleet/knowledge-exchange.ts
@@ -1,4 +1,7 @@
-/** What this daemon answers when another one asks what it knows, and what it takes from the answers of others. */
+/**
+ * Gossip between daemons: what this daemon answers when another one asks for its state, and how it
+ * applies the state of others.
+ */
 import type { Clock } from '../../kernel/index.js';
 import type {
   PoisonReport,
@@ -11,7 +14,7 @@
 } from '../../peering/index.js';
 import type { FleetView, StoreReader } from '../../view/index.js';
 
-/** What the exchange is made from. */
+/** Options of the exchange. */
 export interface KnowledgeExchangeOptions {
   readonly clock: Clock;
   readonly self: string;
@@ -20,7 +23,7 @@
   readonly reader: Pick<StoreReader, 'lastReadAt'>;
   readonly readerRole: ReaderRole;
   readonly feed: FeedClient;
-  /** Requests under which targets ended, as far as others are to know of them. */
+  /** Lists the suspected poison requests to announce to other daemons. */
   readonly listPoisonReports: () => readonly PoisonReport[];
 }
 
@@ -28,7 +31,7 @@
 export class KnowledgeExchange {
   constructor(private readonly options: KnowledgeExchangeOptions) {}
 
-  /** What this daemon knows now. */
+  /** Returns what this daemon knows now. */
   read(): Knowledge {
     const { clock, view, roster, listPoisonReports } = this.options;
     return {
@@ -43,7 +46,7 @@
     };
   }
 
-  /** Takes what another daemon knows, and fetches it when it is more. */
+  /** Applies what another daemon knows, and fetches from it whatever is newer there. */
   async receive(from: MemberInfo, knowledge: Knowledge): Promise<void> {
     const { clock, self, view, roster, readerRole, feed } = this.options;
     readerRole.recordAnswer();
@@ -65,12 +68,12 @@
       view.recordProof(provenAt);
       view.advanceKnown(knowledge.known);
     }
-    // The echo of an own reading shows nothing.
+    // This daemon's own read of the store, reported back to it, proves nothing.
     if (lastRead === undefined || lastRead.reader === self) return;
     readerRole.recordRemoteRead(lastRead.reader, now - lastRead.age);
   }
 
-  /** The last reading of the store by a daemon itself, be it this one or another. */
+  /** Returns the latest read of the store, by this daemon or another one. */
   #findLastRead(): StoreRead | undefined {
     const { clock, self, reader, readerRole } = this.options;
     const { lastRemoteRead } = readerRole;
@@ -81,7 +84,10 @@
     return lastReadAt === -Infinity ? undefined : { reader: self, age: now - lastReadAt };
   }
 
-  /** Homes and their successors take the plan of homes from the first home, the others from any home. */
+  /**
+   * Whether the number of homes is taken from the daemon with this IP address. Homes and their
+   * successors take it from the first home, other daemons from any home.
+   */
   #isPlanSource(ip: string): boolean {
     const { roster } = this.options;
     const homes = roster.listHomes();
--- a/src/gateway/fleet/utilisation-meter.ts
+++ b/src/gateway/fleet/utilisation-meter.ts
@@ -1,15 +1,18 @@
-/** Which part of its time this daemon has been at work of late. */
+/** Measures the recent utilisation of this daemon's event loop. */
 import { performance } from 'node:perf_hooks';
 import { DecayingMean } from '../../balance/index.js';
 import type { Clock } from '../../kernel/index.js';
 
-/** Long against one call, short against a burst. */
+/** Long compared to one call, short compared to a burst. */
 const HALF_LIFE_MS = 500;
 
-/** The share of a span in which the event loop was not idle, from 0 to 1; made anew for each span. */
+/** Returns the utilisation of the event loop since the last call of this function, from 0 to 1. */
 export type UtilisationReader = () => number;
 
-/** Reads the event loop of this process; time in which it was kept from the processor counts as work. */
+/**
+ * Creates a reader for the event loop of this process. Time in which the process had to wait for a
+ * processor counts as busy.
+ */
 export function createUtilisationReader(): UtilisationReader {
   let last = performance.eventLoopUtilization();
   return () => {
@@ -20,7 +23,7 @@
   };
 }
 
-/** Follows the part that was work. */
+/** Averages the utilisation over recent time. */
 export class UtilisationMeter {
   readonly #utilisation = new DecayingMean(HALF_LIFE_MS);
 
@@ -29,7 +32,7 @@
     private readonly readUtilisation: UtilisationReader,
   ) {}
 
-  /** Takes what has passed since the last time, and returns the part that was work. */
+  /** Adds the utilisation since the last call, and returns the average, from 0 to 1. */
   read(): number {
     this.#utilisation.add(this.readUtilisation(), this.clock.now());
     return this.#utilisation.read(0);
--- a/src/gateway/targets/availability-cache.ts
+++ b/src/gateway/targets/availability-cache.ts
@@ -1,28 +1,28 @@
-/** What targets have said of themselves, kept while their entries are gone from the list and may come back. */
+/** Draining and back-off of targets that left the list, kept in case their entries come back. */
 import { Availability } from '../../balance/index.js';
 import type { Clock } from '../../kernel/index.js';
 import type { TargetRecord } from '../../platform/index.js';
 
-/** Incarnations kept at most: some releases of a large fleet. */
+/** Enough for several releases of a large fleet. */
 const MAX_INCARNATIONS = 4096;
 
 function nameIncarnation({ incarnation, born }: TargetRecord): string {
   return `${incarnation}/${born}`;
 }
 
-/** The book of one daemon. */
+/** The cache of one daemon. */
 export class AvailabilityCache {
-  /** Of targets that left, the one that left first to begin with. */
+  /** Entries of targets that left, the least recent first. */
   readonly #entries = new Map<string, Availability>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Finds what an incarnation has said before, or begins anew. */
+  /** Returns what an incarnation stated earlier, or an empty state. */
   find(record: TargetRecord): Availability {
     return this.#entries.get(nameIncarnation(record)) ?? new Availability();
   }
 
-  /** Keeps what an incarnation has said that leaves the list. */
+  /** Keeps what an incarnation stated when it leaves the list. */
   keep(record: TargetRecord, availability: Availability): void {
     if (!availability.isRestricted(this.clock.now())) return;
     const name = nameIncarnation(record);
--- a/src/gateway/targets/connections.ts
+++ b/src/gateway/targets/connections.ts
@@ -1,8 +1,8 @@
 /**
- * Connections to one target, kept for the next call while that is safe.
+ * Connections to one target, kept for reuse while that is safe.
  *
- * A call takes a connection that is open before its first byte is written, so "not connected" always
- * means "not sent". Bytes that arrive on a connection at rest belong to no call; it is closed.
+ * A call gets an open connection before its first byte is written, so "not connected" always means
+ * "not sent". Bytes that arrive on an idle connection belong to no call; the connection is closed.
  */
 import http from 'node:http';
 import net from 'node:net';
@@ -11,36 +11,42 @@
 /** An open connection to a target. */
 export interface TargetConnection {
   readonly socket: net.Socket;
-  /** Hands the connection to a request of Node's client. */
+  /** Makes Node's HTTP client use this connection for a request. */
   readonly agent: http.Agent;
-  /** Whether an earlier call went over it. */
+  /** Whether it has carried a call before. */
   isReused: boolean;
+  /** Since when it has been idle, in milliseconds on this daemon's clock. */
   idleSince: number;
-  /** How long the target keeps it at rest, in milliseconds. */
+  /** How long it may stay idle before the target may close it, in milliseconds. */
   idleLimit: number;
 }
 
-/** What taking a connection gives. */
+/** The outcome of taking a connection. */
 export type ConnectionResult =
   | { readonly kind: 'connected'; readonly connection: TargetConnection }
   | { readonly kind: 'not-connected'; readonly reason: string };
 
-/** Whether anybody listens at an address. */
+/** Whether a process listens at an address. */
 export type ListenState = 'somebody' | 'nobody' | 'unknown';
 
-/** How the system tells that nobody listens: a machine that is cut off or frozen tells nothing. */
+/**
+ * Error code when no process listens. A machine that is cut off or frozen sends no reply at all.
+ */
 const REFUSED = 'ECONNREFUSED';
 
-/** Longest wait for a new connection: a hundred times the usual, and short of what callers notice. */
+/** A hundred times the usual time of a connect, and too short for callers to notice. */
 const CONNECT_TIMEOUT_MS = 250;
 
-/** How long a connection may rest where the target says nothing. */
+/** Used when the target states no keep-alive timeout. */
 const DEFAULT_IDLE_LIMIT_MS = 4000;
 
-/** The target says when it closes; we stop using the connection this long before. */
+/**
+ * A connection is not reused for this long before the target closes it, according to its keep-alive
+ * timeout.
+ */
 const IDLE_MARGIN_MS = 1000;
 
-/** Lends one open socket to the requests that are made with it. */
+/** Provides one open socket to the requests that are made with it. */
 class SocketAgent extends http.Agent {
   constructor(private readonly socket: net.Socket) {
     super({ keepAlive: true });
@@ -66,19 +72,24 @@
     private readonly onConnectionOpened: () => void,
   ) {}
 
-  /** Connections open now, at rest or in use. */
+  /** Connections open now, idle or in use. */
   get openCount(): number {
     return this.#openCount;
   }
 
-  /** Takes a connection at rest for at most `maxRest` milliseconds, or opens a new one. */
+  /**
+   * Takes a connection that has been idle for at most `maxIdle` milliseconds, or opens a new one.
+   */
   async take(maxIdle: number): Promise<ConnectionResult> {
     const idle = this.#takeIdle(maxIdle);
     if (idle !== undefined) return { kind: 'connected', connection: idle };
     return this.#connect();
   }
 
-  /** Finds out by a new connection whether anybody listens; it is kept for the next call. */
+  /**
+   * Checks with a new connection whether a process listens there; the connection is kept for the
+   * next call.
+   */
   async checkListening(): Promise<ListenState> {
     this.#pendingCheck ??= this.#checkListening();
     try {
@@ -88,7 +99,7 @@
     }
   }
 
-  /** Closes connections that have rested too long. */
+  /** Closes connections that have been idle longer than they may. */
   closeExpired(): void {
     const now = this.clock.now();
     for (const connection of [...this.#idle]) {
@@ -96,7 +107,7 @@
     }
   }
 
-  /** Closes the connections at rest; those in use end with their calls. */
+  /** Closes the idle connections; those in use end with their calls. */
   close(): void {
     for (const connection of [...this.#idle]) connection.socket.destroy();
   }
@@ -154,7 +165,8 @@
         };
         socket.on('free', () => this.#keepIdle(connection));
         socket.once('close', () => this.#forgetIdle(connection));
-        // The leaving of a caller that came in the same turn is read before anything is sent for it.
+        // If the caller disconnected in the same event-loop iteration, that is processed first and
+        // nothing is sent for it.
         setImmediate(() => resolve({ kind: 'connected', connection }));
       });
     });
@@ -162,7 +174,7 @@
 
   #keepIdle(connection: TargetConnection): void {
     const { socket } = connection;
-    // Bytes of a body that the target has not taken yet stand before whatever comes next.
+    // Body bytes that the target has not read yet would precede the next request.
     if (!socket.writable || socket.writableLength > 0) {
       socket.destroy();
       return;
@@ -178,7 +190,7 @@
   }
 }
 
-/** Reads from an answer's headers for how long its connection may rest. */
+/** Parses a `Keep-Alive` header into the time that a connection may stay idle, in milliseconds. */
 export function parseIdleLimit(keepAlive: string | undefined): number {
   const seconds = /timeout=(\d+)/.exec(keepAlive ?? '')?.[1];
   if (seconds === undefined) return DEFAULT_IDLE_LIMIT_MS;
--- a/src/gateway/targets/draining-reporter.ts
+++ b/src/gateway/targets/draining-reporter.ts
@@ -1,19 +1,22 @@
-/** Which draining targets the other daemons are to be told of now. */
+/** Chooses which draining targets are reported to the other daemons, and when. */
 import type { Clock } from '../../kernel/index.js';
 import type { DrainingReport } from '../../peering/index.js';
 import type { GatewayTarget } from './target.js';
 import type { TargetSet } from './target-set.js';
 
-/** Told again after this long at first, in milliseconds, since datagrams get lost. */
+/** Shortest time between two reports of a target. They are repeated because datagrams get lost. */
 const MIN_REPEAT_INTERVAL_MS = 500;
 
-/** And later after this part of the time for which it has been known. */
+/** Later reports come after this fraction of the time since the target began to drain. */
 const REPEAT_AGE_FRACTION = 0.25;
 
-/** Targets in one datagram, so that it stays below what a network carries in one piece. */
+/** Targets in one datagram: few enough that the network does not fragment it. */
 const MAX_TARGETS = 100;
 
-/** Chooses what one daemon tells: what targets said to it, as the others tell what was said to them. */
+/**
+ * Reports the draining targets of one daemon: those that announced it to this daemon itself. The
+ * other daemons report theirs.
+ */
 export class DrainingReporter {
   readonly #reportedAt = new WeakMap<GatewayTarget, number>();
 
@@ -22,7 +25,7 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Lists the targets to tell of, and takes them for told. */
+  /** Returns the targets that are due for a report, and marks them as reported. */
   takeDue(): readonly DrainingReport[] {
     const now = this.clock.now();
     const due: DrainingReport[] = [];
--- a/src/gateway/targets/incarnation-hash.ts
+++ b/src/gateway/targets/incarnation-hash.ts
@@ -1,9 +1,12 @@
-/** The number that stands for an incarnation in datagrams between daemons. */
+/** The hash that identifies an incarnation in datagrams between daemons. */
 import { hashPair } from '../../balance/home.js';
 
 const HASHES = 2 ** 32;
 
-/** Returns the number; two targets of one installation, or two starts of one, share one about never. */
+/**
+ * Hashes an incarnation of a target to 32 bits. Collisions between the targets of one installation,
+ * or two starts of one target, are negligible.
+ */
 export function hashIncarnation(incarnation: string, born: number): number {
   return hashPair('incarnation', `${incarnation}/${born}`) % HASHES;
 }
--- a/src/gateway/targets/load-exchange.ts
+++ b/src/gateway/targets/load-exchange.ts
@@ -1,9 +1,11 @@
 /**
- * The homes tell each other what each alone knows of the targets: its calls there, and how slow it
- * heard them to be. So counts are nearly exact at every home, and one home's probe serves all.
+ * Exchange of load reports between daemons. Each home sends the other homes what only it knows
+ * about the targets: its calls there, and the slowdown that they reported to it. So counts of calls
+ * are nearly exact at every home, and one home's probe serves all.
  *
- * Calls come to other daemons as well, from callers that hold an old answer or after many daemons have
- * started anew. Such a daemon tells the homes of its calls, and hears from them for as long as it does.
+ * Calls also reach daemons that are not homes, from callers with an outdated list of homes or after
+ * many daemons have restarted. Such a daemon reports its calls to the homes, and receives their
+ * load reports for as long as it does.
  */
 import type { Clock } from '../../kernel/index.js';
 import type { DrainingReport, TargetLoadReport } from '../../peering/index.js';
@@ -11,48 +13,56 @@
 import type { GatewayTarget } from './target.js';
 import type { TargetSet } from './target-set.js';
 
-/** What the sharing is made from. */
+/** Options of the exchange. */
 export interface LoadExchangeOptions {
   readonly clock: Clock;
   readonly targets: TargetSet;
   readonly self: string;
-  /** The IP numbers of the homes, this daemon's included when it is one. */
+  /** The IP addresses of the homes, including this daemon's when it is one. */
   readonly listHomes: () => readonly string[];
-  /** Whether calls come to this daemon. */
+  /** Whether this daemon receives calls. */
   readonly isServing: () => boolean;
   readonly send: (ip: string, reports: readonly TargetLoadReport[]) => void;
   readonly sendDraining: (ip: string, reports: readonly DrainingReport[]) => void;
 }
 
-/** Time between two datagrams to two others: short against a call, long against what a datagram costs. */
+/**
+ * Time between two datagrams to each of up to two other homes: short compared to a call, long
+ * compared to the cost of a datagram.
+ */
 const INTERVAL_MS = 20;
 
-/** With more others than these the pace is slower, so that datagrams don't take what more homes bring. */
+/**
+ * With more other homes than these the interval grows in proportion, so that datagrams don't use up
+ * the processor time that more homes add.
+ */
 const FULL_RATE_HOMES = 2;
 
 /**
- * Time between two datagrams to or from a daemon that is no home. All of them may serve at once, and
- * at 20 ms their words took so much of a home's core under overload that four times as many calls were
- * held to their end.
+ * Time between two datagrams to or from a daemon that is not a home. All daemons may be serving at
+ * once. At 20 ms their reports used so much of a home's processor under overload that four times as
+ * many calls were held to their deadline.
  */
 const NON_HOME_INTERVAL_MS = 100;
 
-/** How often a daemon that has nobody to tell looks whether that has changed. */
+/** How often a daemon without recipients checks whether that has changed. */
 const IDLE_INTERVAL_MS = 250;
 
-/** A daemon that has told nothing for this long serves no calls any more. */
+/**
+ * A daemon that is not a home and sent no report for this long is taken to serve no calls any more.
+ */
 const NON_HOME_TIMEOUT_MS = 1200;
 
-/** What has not changed is told again after this long, since datagrams get lost. */
+/** Unchanged load is sent again after this time, because datagrams get lost. */
 const REPEAT_INTERVAL_MS = 500;
 
-/** A home that has told anything within this time has no calls at the targets that it did not name. */
+/** A home that sent a report within this time has no calls at targets that its reports left out. */
 const HOME_TIMEOUT_MS = 1200;
 
-/** Shares in one datagram, so that it stays below what a network carries in one piece. */
+/** Reports in one datagram: few enough that the network does not fragment it. */
 const MAX_REPORTS = 100;
 
-/** A slowdown that differs by less is no news. */
+/** Smaller changes of a slowdown are not sent. */
 const MIN_SLOWDOWN_CHANGE = 0.05;
 
 interface SentReport {
@@ -62,19 +72,19 @@
   readonly at: number;
 }
 
-/** Tells and hears the shares of one daemon. */
+/** Sends and receives the load reports of one daemon. */
 export class LoadExchange {
   readonly #lastSent = new Map<GatewayTarget, SentReport>();
 
-  /** When each daemon last told something. */
+  /** When a report of each daemon was last received. */
   readonly #receivedAt = new Map<string, number>();
 
-  /** News for the daemons that are no homes, which hear less often. */
+  /** Reports pending for the daemons that are not homes, which get them less often, by target. */
   #pendingForNonHomes = new Map<number, TargetLoadReport>();
 
   #sentToNonHomesAt = -Infinity;
 
-  /** When this home last told the others anything. */
+  /** When this daemon last sent a report to the other homes. */
   #sentToHomesAt = -Infinity;
 
   readonly #drainingReporter: DrainingReporter;
@@ -83,7 +93,7 @@
     this.#drainingReporter = new DrainingReporter(options.targets, options.clock);
   }
 
-  /** Tells until the signal aborts. */
+  /** Sends reports until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, listHomes } = this.options;
     while (!signal.aborted) {
@@ -92,23 +102,23 @@
     }
   }
 
-  /** Takes what another daemon told. */
+  /** Applies the load reports of another daemon. */
   receive(from: string, reports: readonly TargetLoadReport[]): void {
     const { targets, clock } = this.options;
     this.#receivedAt.set(from, clock.now());
-    // Calls that wait are looked at every few milliseconds anyway; serving them at every word of another
-    // daemon took more of a home's processor than its calls did.
+    // Waiting calls are reconsidered every few milliseconds anyway. Doing so on every report of
+    // another daemon took more of a home's processor time than its calls did.
     for (const report of reports) targets.findByHash(report.target)?.receivePeerLoad(from, report);
   }
 
-  /** Takes it that targets drain, as they told another daemon. */
+  /** Applies another daemon's reports of draining targets. */
   receiveDraining(from: string, reports: readonly DrainingReport[]): void {
     for (const { target, age } of reports) {
       this.options.targets.findByHash(target)?.receivePeerDraining(from, age);
     }
   }
 
-  /** How many of the other homes have told of their calls of late. */
+  /** Counts the other homes that sent reports recently. */
   countReportingHomes(): number {
     const { clock, listHomes } = this.options;
     const now = clock.now();
@@ -124,7 +134,7 @@
     return this.#listNonHomes(homes).length > 0 ? NON_HOME_INTERVAL_MS : IDLE_INTERVAL_MS;
   }
 
-  /** The daemons that are no homes and have told of calls of late. */
+  /** Lists the daemons that are not homes and sent reports recently; forgets those that stopped. */
   #listNonHomes(homes: readonly string[]): readonly string[] {
     const now = this.options.clock.now();
     for (const [ip, at] of this.#receivedAt) {
@@ -149,7 +159,10 @@
     if (nonHomes.length > 0) this.#sendToNonHomes(nonHomes, reports);
   }
 
-  /** Tells the other homes; nothing to tell is told as well, as a sign that there are no calls here. */
+  /**
+   * Sends reports to the other homes. From time to time an empty report is sent as well, to show
+   * that there are no calls here.
+   */
   #sendToHomes(ips: readonly string[], reports: readonly TargetLoadReport[]): void {
     const now = this.options.clock.now();
     if (reports.length === 0 && now - this.#sentToHomesAt < REPEAT_INTERVAL_MS) return;
@@ -158,7 +171,10 @@
     else for (const ip of ips) this.options.send(ip, []);
   }
 
-  /** Of a target that changed more than once since the last time, only the last word is told. */
+  /**
+   * Sends reports to daemons that are not homes. Of several reports of a target only the latest is
+   * sent.
+   */
   #sendToNonHomes(nonHomes: readonly string[], reports: readonly TargetLoadReport[]): void {
     const now = this.options.clock.now();
     for (const report of reports) this.#pendingForNonHomes.set(report.target, report);
@@ -175,7 +191,10 @@
     }
   }
 
-  /** Lists what changed since it was last told, or was told long ago. */
+  /**
+   * Lists reports of the targets whose load has changed since the last report, or was reported long
+   * ago.
+   */
   #listDueReports(): readonly TargetLoadReport[] {
     const now = this.options.clock.now();
     const reports: TargetLoadReport[] = [];
@@ -192,11 +211,14 @@
     const { load } = target;
     const { inFlight } = load;
     const lastSent = this.#lastSent.get(target);
-    // Only what this home heard from the target itself; what another home told, that one tells.
+    // Only slowdowns that the target itself reported here are passed on; each home passes on its
+    // own.
     const isDirect = load.reportedAt === load.slowdownAt;
-    // Told again and again, as whoever has just become a home has to keep to it as well.
+    // Sent repeatedly, because a daemon that has just become a home has to observe the rate as
+    // well.
     const advertisedRate = target.advertisedRate.readAnnouncement(now);
-    // Of hundreds of targets most have no calls from here and were last heard by another home.
+    // Of hundreds of targets most have no calls from here and last reported to another home; those
+    // are not repeated.
     const isWorthRepeating =
       inFlight > 0 ||
       advertisedRate !== undefined ||
--- a/src/gateway/targets/local-rate-limits.ts
+++ b/src/gateway/targets/local-rate-limits.ts
@@ -1,4 +1,7 @@
-/** What targets may get from this daemon: the strictest of the rates that all daemons keep to together. */
+/**
+ * The rate at which this daemon may send calls to each target: the lowest of its parts of the rates
+ * that all daemons share and of the rate after a back-off.
+ */
 import {
   type ColdLimits,
   type FleetShare,
@@ -8,41 +11,44 @@
 import type { Clock } from '../../kernel/index.js';
 import type { GatewayTarget } from './target.js';
 
-/** What is known of the cold targets of a service. */
+/** The rate limit and duration of a service's cold starts. */
 export interface ColdStartLimits extends ColdLimits {
-  /** For how long a target is cold, in milliseconds. */
+  /** How long a cold start lasts, in milliseconds. */
   readonly duration: number;
 }
 
-/** What the rates follow from. */
+/** Options of the rate limits. */
 export interface LocalRateLimitsOptions {
   readonly clock: Clock;
   readonly readColdStartLimits: () => ColdStartLimits;
-  /** What this daemon stands for in the fleet. */
+  /** Returns this daemon's part of the fleet. */
   readonly readShare: () => FleetShare;
 }
 
-/** Rates are worked out this often, in milliseconds. */
+/** Rates are recomputed this often. */
 const REFRESH_INTERVAL_MS = 100;
 
-/** The rates of the targets of one service. */
+/** The rate limits of the targets of one service. */
 export class LocalRateLimits {
   #share: FleetShare = { part: 0, homes: [], self: '' };
 
   #shareReadAt = -Infinity;
 
-  /** Those worked out since the share was. */
+  /** Rates computed since this daemon's part was last read. */
   readonly #rates = new Map<GatewayTarget, number>();
 
   constructor(private readonly options: LocalRateLimitsOptions) {}
 
-  /** Whether a target has had what it takes from here. */
+  /** Whether this daemon has used up what it may send to a target for now. */
   isExhausted(target: GatewayTarget): boolean {
     const rate = this.read(target);
     return rate < Infinity && !target.rateLimiter.maySend(this.options.clock.now(), rate);
   }
 
-  /** Calls a second that a target may get from here; Infinity where nothing limits it. */
+  /**
+   * Returns the calls a second that this daemon may send to a target; Infinity when nothing limits
+   * them.
+   */
   read(target: GatewayTarget): number {
     const now = this.options.clock.now();
     const advertised = target.advertisedRate.read(now);
@@ -62,7 +68,7 @@
     return lowest;
   }
 
-  /** Works a rate out anew, as what it rests on has changed. */
+  /** Recomputes a target's rate after one of its inputs has changed. */
   refresh(target: GatewayTarget): number {
     this.#rates.delete(target);
     return this.read(target);
--- a/src/gateway/targets/prober.ts
+++ b/src/gateway/targets/prober.ts
@@ -1,4 +1,4 @@
-/** Asks targets how loaded they are, while calls for them come to this daemon. */
+/** Probes targets for their load, while this daemon receives calls for them. */
 import http from 'node:http';
 import { getPairHash } from '../../balance/home.js';
 import { computeProbeInterval } from '../../balance/index.js';
@@ -10,13 +10,13 @@
 import type { TargetService } from './target-service.js';
 import type { TargetSet } from './target-set.js';
 
-/** A home, as far as it matters for who probes what. */
+/** A home, with what decides which targets it probes. */
 export interface ProbingHome {
   readonly ip: string;
   readonly domain: string;
 }
 
-/** What the prober is made from. */
+/** Options of the prober. */
 export interface ProberOptions {
   readonly targets: TargetSet;
   readonly clock: Clock;
@@ -24,94 +24,100 @@
   /** Time between two probes of a target, in milliseconds. */
   readonly interval: number;
   readonly self: string;
-  /** The part of its time in which this daemon was at work of late, from 0 to 1. */
+  /** Returns the recent utilisation of this daemon, from 0 to 1. */
   readonly readUtilisation: () => number;
   readonly listHomes: () => readonly ProbingHome[];
-  /** Probes that the whole fleet may send to each target a second. */
+  /** Returns the probes a second that the whole fleet may send to each target. */
   readonly readProbeLimit: () => number;
-  /** How many daemons are known, and how many of them look to this one. */
+  /** Returns how many daemons are known, and how many of them poll this daemon or another home. */
   readonly countDaemons: () => { readonly members: number; readonly present: number };
 }
 
-/** A service with fewer calls a second here is not worth measuring from here, but by the homes. */
+/**
+ * A daemon that is not a home probes the targets of a service only from this many calls a second
+ * on; below that it relies on the homes' reports.
+ */
 const MIN_NON_HOME_CALL_RATE = 3;
 
-/** A report is asked for again after this part of a call's time. */
+/** Fraction of a call's time after which a report is refreshed. */
 const REFRESH_WORK_FRACTION = 0.75;
 
 /**
- * A report is asked for again after this part of the time for which it says something. One that is this
- * old has been overtaken in a quarter of the cases, and a call pays for that with several times its work.
+ * Fraction of a report's validity after which it is refreshed. At this age a quarter of the reports
+ * no longer hold, and a call sent on such a report takes several times its work.
  */
 const REFRESH_LIFE_FRACTION = 0.25;
 
-/** No target is probed more often than this, whatever is agreed, in milliseconds. */
+/** Lower bound of the probe interval, whatever number of probes is agreed. */
 const MIN_INTERVAL_MS = 40;
 
 /**
- * Probes that one call is worth. Where a quarter of the targets is slow, three reports that are fresh when it
- * comes nearly always hold one of a quick target, and a quick one takes several calls. More would grow with the
- * targets and not with the calls.
+ * Probes that a call justifies. Where a quarter of the targets is slow, three reports that are
+ * fresh when a call arrives nearly always include one of a fast target, and a fast target takes
+ * several calls. More probes would grow with the targets instead of the calls.
  */
 const PROBES_PER_CALL = 3;
 
-/** A service with few calls is measured this many times a second by each home all the same. */
+/** Each home sends at least this many probes a second for a service, even if it has few calls. */
 const MIN_HOME_PROBES_PER_SECOND = 100;
 
-/** Up to this part of its time at work a daemon sends all the probes that its calls are worth. */
+/** Up to this utilisation a daemon sends all the probes that its calls justify. */
 const FULL_PROBING_UTILISATION = 0.5;
 
-/** Probes that were not needed may be sent later, as many as fit into this time, in milliseconds. */
+/** Unused probes accumulate for at most this long. */
 const MAX_SAVED_MS = 250;
 
-/** How often a daemon without calls looks whether some have come. */
+/** How often a daemon without calls checks for new ones. */
 const IDLE_INTERVAL_MS = 100;
 
-/** Targets are probed twice as often for this long after a call has had to wait. */
+/** How long targets are probed twice as often after a call has had to wait. */
 const BOOST_TIME_MS = 1000;
 
-/** A home goes on probing this long after the last call, in milliseconds. */
+/** How long a home continues probing after the last call. */
 const IN_USE_MS = 2000;
 
-/** A probe that takes longer tells that the target is mute or cut off. */
+/** A target that takes longer to answer a probe is unresponsive or cut off. */
 const PROBE_TIMEOUT_MS = 400;
 
-/** Targets are probed in this many batches, so that probes do not come all at once. */
+/** Batches that a round of probes is split into, so that probes don't come all at once. */
 const BATCHES = 4;
 
 const HEALTHY_STATUS = 200;
 
-/** Another home's probe is this many intervals late before this one stands in. */
+/** A home probes another home's target when that probe is overdue by this many intervals. */
 const OVERDUE_INTERVALS = 3;
 
 /**
- * A target that gets calls from here all the time is asked this often, in milliseconds, whether it has turned cold:
- * its answers to calls don't tell. What it gets meanwhile has to fit what it may get within one second.
+ * A target that gets calls from here all the time is probed this often to find out whether it has
+ * become cold, which its answers to calls don't state. The calls sent meanwhile have to fit into
+ * what a cold target may get within one second.
  */
 const COLD_CHECK_MS = 400;
 
-/** A target in need, which names the rate that it takes, is asked no more often than this, in milliseconds. */
+/**
+ * Shortest interval of probes to a target that advertises a rate, because it is short of capacity.
+ */
 const MIN_LIMITED_INTERVAL_MS = 1000;
 
-/** From this many calls of late on that is worth a probe. */
+/** From this many recent calls on, a target is probed to find out whether it has become cold. */
 const COLD_CHECK_CALLS = 2;
 
-/** How the targets of one service are probed in one turn; times in milliseconds. */
+/** How the targets of one service are probed in one round; times in milliseconds. */
 interface ProbePlan {
   readonly homes: readonly ProbingHome[];
   readonly isHome: boolean;
-  /** Least time between two probes of one target from here. */
+  /** Shortest time between two probes of one target by this daemon. */
   readonly minInterval: number;
   readonly interval: number;
-  /** A report younger than this is not asked for again. */
+  /** A report younger than this is not refreshed. */
   readonly minReportAge: number;
-  /** Probes a second that the service's calls are worth here. */
+  /** Probes a second that this daemon's calls of the service justify. */
   readonly probesPerSecond: number;
-  /** Whether its targets may turn cold, and bear little then. */
+  /** Whether the service limits the rate of cold targets. */
   readonly checksColdStart: boolean;
 }
 
-/** One turn of probing one service. */
+/** One round of probing one service. */
 interface ProbeRound {
   /** The path of its health check. */
   readonly path: string;
@@ -119,15 +125,16 @@
   readonly plan: ProbePlan;
 }
 
-/** Probes that may be sent now. */
+/** Probes that may be sent now: a token bucket. */
 interface ProbeBudget {
   probes: number;
   updatedAt: number;
 }
 
 /**
- * Returns the home that probes a target: of those in its failure domain, or of all where none is, the one
- * of the highest hash. What it hears it tells the others, in a twentieth of the bytes of a probe.
+ * Chooses the home that probes a target: by rendezvous hashing among the homes in the target's
+ * failure domain, or among all homes when none is there. It sends the other homes what it learns,
+ * in a twentieth of the bytes of a probe.
  */
 export function chooseProbingHome(
   target: Pick<GatewayTarget, 'hash' | 'record'>,
@@ -145,7 +152,7 @@
   return best;
 }
 
-/** Probes the targets of the services that are in use here. */
+/** Probes the targets of the services that are in use in this daemon. */
 export class Prober {
   readonly #probing = new Set<GatewayTarget>();
 
@@ -172,9 +179,10 @@
   }
 
   /**
-   * Where calls are short a report is soon of no use: it should be younger than a call takes. Where
-   * calls have had to wait of late, knowing sooner which target is quick saves slots; where they wait for
-   * this daemon itself, twice the probes take a tenth of what it has, and each answer brings a report.
+   * Returns the wanted time between two probes of a target. A report should be younger than a call
+   * takes, so short calls need frequent probes. When calls had to wait recently, finding a fast
+   * target sooner saves slots; but when they wait for this daemon itself, doubling the probes would
+   * take a tenth of its processor time, and each answer to a call brings a report anyway.
    */
   #computeWantedInterval(service: TargetService): number {
     const { interval } = this.options;
@@ -232,12 +240,12 @@
     const calls = service.callRate.read(this.options.clock.now());
     const wantedProbes = Math.max(isHome ? MIN_HOME_PROBES_PER_SECOND : 0, PROBES_PER_CALL * calls);
     const probesPerSecond = Math.max(1, wantedProbes * this.#computeProbingFraction());
-    // At this interval a home's part of the targets takes no more probes than that.
+    // At this interval the home's part of the targets needs no more probes than that.
     const affordableInterval =
       (service.targets.size / Math.max(1, homes.length) / probesPerSecond) * 1000;
     const wanted = this.#computeWantedInterval(service);
     const interval = Math.max(minInterval, affordableInterval, wanted);
-    // Each target is looked at once in the wanted interval, so it may be due half of that early.
+    // Each target is considered once in the wanted interval, so it may be due half of that early.
     return {
       homes,
       isHome,
@@ -249,16 +257,18 @@
   }
 
   /**
-   * The part of the wanted probes for which the processor has time: all of them up to half of its time at work, and
-   * fewer the less it leaves. Calls that wait for it lose more than a staler report costs them.
+   * Returns the fraction of the wanted probes that the processor has time for: all of them up to a
+   * utilisation of one half, and fewer above. Waiting for the processor costs calls more than
+   * outdated reports do.
    */
   #computeProbingFraction(): number {
     return Math.min(1, (1 - this.options.readUtilisation()) / (1 - FULL_PROBING_UTILISATION));
   }
 
   /**
-   * What may be sent now. A daemon that has heard nothing yet finds every target due at once: with three
-   * calls in a second each of 312 daemons asked all of 503 targets over new connections.
+   * Returns the probes that may be sent now. To a daemon that has just started every target is due
+   * at once: without this limit each of 312 daemons with three calls a second probed all of 503
+   * targets over new connections.
    */
   #refillBudget(service: TargetService, probesPerSecond: number): ProbeBudget {
     const now = this.options.clock.now();
@@ -275,7 +285,10 @@
     return homes.some(({ ip }) => ip === this.options.self);
   }
 
-  /** Calls meet at homes, so one call shows that more will come; elsewhere a few are no reason. */
+  /**
+   * Whether the targets of a service are probed from here. Callers go to homes, so at a home one
+   * call means that more will come; elsewhere a few calls are no reason to probe.
+   */
   #isInUse(service: TargetService, homes: readonly ProbingHome[]): boolean {
     const now = this.options.clock.now();
     if (this.#isHome(homes)) return now - service.lastCallAt < IN_USE_MS;
@@ -283,8 +296,9 @@
   }
 
   /**
-   * Homes divide the targets among themselves; what a home has not heard of in time it asks itself.
-   * Others hear from the homes, and ask only what their small part of the agreed number allows.
+   * Whether a target is due for a probe. Homes divide the targets among themselves, and each stands
+   * in for another home's probe that is overdue. Other daemons get reports from the homes, and
+   * probe only what their small part of the agreed number allows.
    */
   #isDue(target: GatewayTarget, plan: ProbePlan): boolean {
     const { homes, isHome, minInterval } = plan;
@@ -292,7 +306,7 @@
     const floor = target.advertisedRate.isLimited ? MIN_LIMITED_INTERVAL_MS : 0;
     const minReportAge = Math.max(floor, plan.minReportAge);
     const interval = Math.max(floor, plan.interval);
-    // A target that does not answer is due again no sooner than the others.
+    // A target that does not answer is not due again sooner than the others.
     if (now - target.lastProbeAt < Math.max(minInterval, minReportAge)) return false;
     if (plan.checksColdStart && this.#mayBeCold(target)) return true;
     const age = now - target.load.slowdownAt;
--- a/src/gateway/targets/slot-queue.ts
+++ b/src/gateway/targets/slot-queue.ts
@@ -1,4 +1,4 @@
-/** Calls of one service that wait in this daemon for a target. */
+/** The queue of calls of one service that wait in this daemon for a free slot at a target. */
 import {
   type Admission,
   type QueuedCall,
@@ -8,40 +8,49 @@
 import type { Clock, Random, Timer } from '../../kernel/index.js';
 import type { GatewayTarget } from './target.js';
 
-/** What a call asks of its place. */
+/** The constraints of a call on the choice of its target. */
 export interface PlacementRequest {
   /** Targets that it has been sent to already. */
   readonly tried: ReadonlySet<GatewayTarget>;
-  /** How long the call takes at a usual, idle target, in milliseconds. */
+  /** How long the call takes at a typical idle target, in milliseconds. */
   readonly work: number;
-  /** Length of its body, as far as it is known. */
+  /** Length of its body in bytes, as far as known. */
   readonly bodyBytes: number;
-  /** The regions in which it may run; undefined where it may run anywhere. */
+  /** The regions in which it may run; undefined when it may run anywhere. */
   readonly regions?: readonly string[];
-  /** How carefully it has to be placed, because a target has ended under it; undefined when none has. */
+  /** Further constraints on a suspected poison request; undefined for other calls. */
   readonly suspect?: SuspectConstraints;
 }
 
-/** What a suspect asks of its place. */
+/** Constraints on a suspected poison request: a call whose target has ended while running it. */
 export interface SuspectConstraints {
   /** Releases of targets that it is not sent to. */
   readonly avoidedReleases: readonly string[];
 }
 
-/** A call that asks for a target. */
+/** A call that asks the queue for a target. */
 export interface SlotCall extends PlacementRequest, QueuedCall {}
 
-/** What came of asking. */
+/** The outcome of a request for a target. */
 export type PlacementResult =
-  /** The call is counted there already; whoever does not send it gives the slot back. */
+  /**
+   * The call is already counted at the target. If it is not sent after all, the slot has to be
+   * given back.
+   */
   | { readonly kind: 'target'; readonly target: GatewayTarget }
-  /** `wait` is the time after which the caller may return, in milliseconds. */
+  /** `wait` is the time after which the caller may retry, in milliseconds. */
   | { readonly kind: 'refused'; readonly reason: PlacementRefusal; readonly wait: number };
 
-/** Why no target is found: none is there, none has a slot in time, or those that have one take no more for now. */
+/**
+ * Why a call gets no target: none is usable, none has a free slot in time, or those with free slots
+ * accept no more calls for now.
+ */
 export type PlacementRefusal = 'no-target' | 'no-room' | LimitReason;
 
-/** What a queue asks for each call in turn. */
+/**
+ * Chooses a target for a call of the queue, or advises it to wait. `callsAhead` is the number of
+ * calls that go first.
+ */
 export type TargetChooser = (
   call: SlotCall,
   callsAhead: number,
@@ -51,7 +60,10 @@
       readonly candidate: GatewayTarget;
       readonly load: { readonly slowdown: number };
     }
-  /** `pace` lies between two starts here, `slowdown` is that of the targets on the whole. */
+  /**
+   * `pace` is the time between two starts in this daemon, as a multiple of a call's work;
+   * `slowdown` is the mean of all targets.
+   */
   | {
       readonly kind: 'wait';
       readonly pace: number;
@@ -61,13 +73,19 @@
     }
   | { readonly kind: 'none'; readonly wait?: number };
 
-/** Reports and ends of calls wake the queue; this is for time that passes without any. */
+/**
+ * How often waiting calls are reconsidered. Reports and ends of calls do so as well; this covers
+ * the passing of time.
+ */
 const PUMP_INTERVAL_MS = 10;
 
-/** When a caller may return that found no target: lists of targets change within a part of a second. */
+/**
+ * Retry delay for a caller when there is no target: the list of targets changes within a fraction
+ * of a second.
+ */
 const NO_TARGET_WAIT_MS = 250;
 
-/** The queue of one service. */
+/** The queue of one service in this daemon. */
 export class SlotQueue {
   readonly #waiting: WaitQueue<SlotCall>;
 
@@ -75,10 +93,10 @@
 
   #timer: Timer | undefined;
 
-  /** What calls wait for besides slots. */
+  /** What calls wait for besides a free slot. */
   #limitReason: LimitReason | undefined;
 
-  /** When a call last had to wait. */
+  /** When a call last had to wait, in milliseconds on this daemon's clock. */
   lastWaitAt = -Infinity;
 
   constructor(
@@ -89,12 +107,12 @@
     this.#waiting = new WaitQueue(clock, random);
   }
 
-  /** Calls that wait. */
+  /** Number of waiting calls. */
   get size(): number {
     return this.#waiting.size;
   }
 
-  /** Gives a target at once, or makes the call wait, or refuses it. */
+  /** Returns a target at once, lets the call wait for one, or refuses it. */
   take(call: SlotCall): PlacementResult | Promise<PlacementResult> {
     this.#waiting.recordArrival(call);
     const callsAhead = this.#waiting.countAhead(call);
@@ -114,13 +132,13 @@
     }
   }
 
-  /** Takes back a call that waits: its caller left, or its time is over. */
+  /** Removes a waiting call, because its caller left or its deadline passed. */
   remove(call: SlotCall): void {
     this.#waiting.remove(call);
     this.#resolvers.delete(call);
   }
 
-  /** Serves those that wait, as far as there is room. */
+  /** Starts waiting calls while targets have free slots. */
   pump(): void {
     if (this.size === 0) return;
     for (const call of this.#waiting.list()) {
@@ -149,7 +167,7 @@
     resolve?.(result);
   }
 
-  /** Sends back those that wait in vain, as the outlook is now. */
+  /** Refuses waiting calls that are not expected to be answered in time at the current pace. */
   #refuseHopeless(): void {
     for (const { call, wait } of this.#waiting.removeHopeless(this.#limitReason !== undefined)) {
       this.#resolve(call, this.#refuse(wait));
@@ -169,15 +187,16 @@
 
   #tryRefuse(call: SlotCall, admission: Admission): PlacementResult | undefined {
     if (admission.kind !== 'refuse' || !call.isWorkKnown) return undefined;
-    // A slot may free sooner than expected, so a repeat waits on for one; what targets take is known.
+    // A slot may become free sooner than expected, so a retry keeps waiting for one. Rate limits
+    // and back-offs are known, so for them it does not.
     if (!call.mayBeRefused && this.#limitReason === undefined) return undefined;
     return this.#refuse(admission.wait);
   }
 
   /**
-   * Starts a call that is expected to be answered while its caller waits; one that would end too late
-   * takes a slot for nothing and is told so instead, with the time of a usual call. Counts the call at once,
-   * so that the next one that asks finds the slot taken.
+   * Starts a call that is expected to be answered while its caller waits. A call that would end too
+   * late would waste a slot; it is refused instead, with the work of a call as retry delay. Counts
+   * the call at once, so that the next one sees the slot taken.
    */
   #start(
     call: SlotCall,
@@ -186,7 +205,8 @@
     const now = this.clock.now();
     const duration = call.work * load.slowdown * call.spread;
     if (call.mayBeRefused && call.isWorkKnown && now + duration > call.deadline) {
-      // How slow the free ones are says nothing of when a quick one has ended its call.
+      // The slowdown of the free targets does not tell when a fast target becomes free, so it is
+      // left out of the delay.
       return this.#refuse(call.work);
     }
     candidate.start(now);
--- a/src/gateway/targets/target-events.ts
+++ b/src/gateway/targets/target-events.ts
@@ -1,37 +1,43 @@
-/** Lines and counters for what targets say of themselves. */
+/** Log lines and counters for changes that targets announce. */
 import type { Log, TextMetrics } from '../../kernel/index.js';
 import type { GatewayTarget } from './target.js';
 import type { TargetService } from './target-service.js';
 
-/** What has changed of the rate that a target names. */
+/** A change of the rate that a target advertises. */
 export interface RateChangeEvent {
-  /** Requests a second before and now; undefined where none is named. */
+  /** Requests a second before and now; undefined when the target advertises no rate. */
   readonly before: number | undefined;
   readonly rate: number | undefined;
-  /** How long ago the target said so, in milliseconds. */
+  /** Time since the target advertised it, in milliseconds. */
   readonly age: number;
-  /** The IP number of the daemon that told of it, or `target`. */
+  /** The IP address of the daemon that relayed it, or `target`. */
   readonly from: string;
 }
 
-/** A header of a target's answer that could not be read. */
+/** A header of a target's response that could not be parsed. */
 export interface UnreadableHeader {
   readonly field: 'rate' | 'draining' | 'backoff';
+  /** The header's value, as received. */
   readonly what: string;
 }
 
-/** What is told when a target says something new of itself. */
+/** Receives the changes that targets announce. */
 export interface TargetListener {
   onRateChange(target: GatewayTarget, change: RateChangeEvent): void;
-  /** The target drains. @param from the IP number of the daemon that told of it, or `target` */
+  /**
+   * The target is draining.
+   *
+   * @param from the IP address of the daemon that relayed it, or `target`
+   * @param age time since the target announced it, in milliseconds
+   */
   onDraining(target: GatewayTarget, from: string, age: number): void;
-  /** The target wants nothing from this daemon for a time, in milliseconds. */
+  /** The target asked this daemon for a back-off of this time, in milliseconds. */
   onBackoff(target: GatewayTarget, time: number): void;
   onBackoffEnd(target: GatewayTarget): void;
   onUnreadableHeader(target: GatewayTarget, header: UnreadableHeader): void;
-  /** No target of the service takes calls any more. */
+  /** The service has no usable target any more. */
   onServiceUnavailable(service: TargetService): void;
-  /** Some targets of the service take calls again. */
+  /** The service has usable targets again. */
   onServiceAvailable(service: TargetService, usable: number): void;
 }
 
@@ -41,9 +47,9 @@
   backoff: 'a decimal number of seconds',
 };
 
-/** Tells of targets in lines, and counts. */
+/** Writes a log line and counts a metric for each change. */
 export class TargetEventLog implements TargetListener {
-  /** @param readLocalRate what a target may get from here now */
+  /** @param readLocalRate returns the calls a second that this daemon may send to a target now */
   constructor(
     private readonly log: Log,
     private readonly metrics: TextMetrics,
--- a/src/gateway/targets/target-service.ts
+++ b/src/gateway/targets/target-service.ts
@@ -1,4 +1,4 @@
-/** One service as this daemon uses it: its targets, and which of them a call goes to. */
+/** One service as this daemon uses it: its targets, and the choice of a target for each call. */
 import type { Clock, Random } from '../../kernel/index.js';
 import {
   type TargetChoice,
@@ -21,59 +21,63 @@
 
 const MS_PER_SECOND = 1000;
 
-/** What a service is made from. */
+/** Options of a service. */
 export interface TargetServiceOptions {
   readonly clock: Clock;
   readonly random: Random;
   readonly domain: string;
-  /** Finds the region of a failure domain; undefined for one that nobody placed. */
+  /** Finds the region of a failure domain; undefined when the domain is assigned to none. */
   readonly findRegion: (domain: string) => string | undefined;
-  /** Daemons that share the targets. */
+  /** Number of home daemons, which share the targets. */
   readonly countHomes: () => number;
-  /** Those of the others that have told of their calls of late. */
+  /** Number of other homes that sent load reports recently. */
   readonly countReportingHomes: () => number;
-  /** What cold targets of a service bear, and for how long one is cold. */
+  /** Returns the rate limit of cold targets of a service, and how long a cold start lasts. */
   readonly readColdStartLimits: (service: string) => ColdStartLimits;
-  /** What this daemon stands for in the fleet, where all keep to a rate together. */
+  /** Returns this daemon's part of rates that all daemons share. */
   readonly readShare: () => FleetShare;
-  /** Makes the budget for repeats of one service. */
+  /** Creates the retry budget of one service. */
   readonly createRetryBudget: () => WindowBudget;
 }
 
-/** How this daemon's calls compare with all is followed for a few calls' time. */
+/** Half-life of the ratio of all daemons' calls to this daemon's: the time of a few calls. */
 const CALL_RATIO_HALF_LIFE_MS = 300;
 
-/** The others tell of their calls this often, in milliseconds. */
+/** How often the ratio is measured: as often as other homes report their load. */
 const CALL_RATIO_INTERVAL_MS = 20;
 
-/** Calls of a service change little; this follows some hundreds of them. */
+/** The time of calls changes little; this averages over some hundreds of them. */
 const WORK_HALF_LIFE_MS = 3000;
 
 /**
- * A target that has run for this long, in milliseconds, is not one of those that end every few seconds: what is lost
- * there was not lost by chance.
+ * From this age on a target is not one of those that restart every few seconds: if it ends while it
+ * runs a call, that is not taken for coincidence.
  */
 const MIN_LONG_RUNNING_AGE_MS = 20_000;
 
-/** One service as this daemon uses it. */
+/** One service as this daemon uses it: its targets, waiting calls and learned state. */
 export class TargetService {
   readonly targets = new Map<string, GatewayTarget>();
 
+  /** Rate at which calls arrive at this daemon. */
   readonly callRate: RateMeter;
 
+  /** When the last call arrived, in milliseconds on this daemon's clock. */
   lastCallAt = -Infinity;
 
+  /** Limits retries to a share of the calls. */
   readonly retryBudget: WindowBudget;
 
   /** Calls that wait for a target. */
   readonly queue: SlotQueue;
 
+  /** How much longer calls take at nearly full targets. */
   readonly knee = new KneeEstimate();
 
-  /** What its targets may get from here. */
+  /** Rate limits of its targets for this daemon. */
   readonly rateLimits: LocalRateLimits;
 
-  /** What the targets' reports have taught of how slow they are. */
+  /** Slowdown model, which learns from the reports of its targets. */
   readonly slowdownModel = new SlowdownModel();
 
   readonly #work = new DecayingMean(WORK_HALF_LIFE_MS);
@@ -84,10 +88,10 @@
 
   #candidatePool: CandidatePool<GatewayTarget> | undefined;
 
-  /** Calls that went elsewhere because a target had had what it takes. */
+  /** Calls that went to another target because of a rate limit, since the start. */
   rateLimitDiversions = 0;
 
-  /** Calls that went elsewhere because a target wants nothing from this daemon for a time. */
+  /** Calls that went to another target because of a back-off, since the start. */
   backoffDiversions = 0;
 
   constructor(
@@ -112,44 +116,50 @@
     this.retryBudget.recordRequest();
   }
 
-  /** How slow the service's targets are, and for how long one stays so. */
+  /** Returns the typical slowdowns of the service's targets, and how long a report stays valid. */
   readSlowdownParameters(): SlowdownParameters {
     return this.slowdownModel.read(this.options.clock.now());
   }
 
-  /** How long calls take at a usual, idle target, in milliseconds; `fallback` before the first one. */
+  /**
+   * Returns the mean time of a call at a typical idle target, in milliseconds; `fallback` before
+   * the first call.
+   */
   readWork(fallback: number): number {
     return this.#work.read(fallback);
   }
 
-  /** What others may start from; undefined before enough was seen here. */
+  /**
+   * Returns the learned state for daemons that start later; undefined before enough was observed
+   * here.
+   */
   readLearnedState(): LearnedServiceState | undefined {
     if (!this.slowdownModel.hasEnoughSamples) return undefined;
     return { ...this.readSlowdownParameters(), knee: this.knee.readFactor() };
   }
 
-  /** Takes what others have learnt, until enough was seen here. */
+  /** Applies learned state of other daemons, used until enough has been observed here. */
   restoreLearnedState(state: LearnedServiceState): void {
     this.slowdownModel.setPrior(state);
     this.knee.setPrior(state.knee);
   }
 
-  /** Counts the targets that take no more than a rate that they name. */
+  /** Counts the targets that advertise a rate. */
   countLimited(): number {
     return this.#countTargets(({ advertisedRate }) => advertisedRate.isLimited);
   }
 
-  /** Counts the targets that new calls may go to. */
+  /** Counts the targets that may get new calls. */
   countUsable(): number {
     return this.#countTargets(({ isUsable }) => isUsable);
   }
 
-  /** Counts the targets that have said that they drain. */
+  /** Counts the targets that stated that they are draining. */
   countDraining(): number {
     return this.#countTargets(({ availability }) => availability.draining !== undefined);
   }
 
-  /** Counts the targets that want nothing from this daemon now. */
+  /** Counts the targets that asked this daemon for a back-off that lasts still. */
   countBackedOff(): number {
     const now = this.options.clock.now();
     return this.#countTargets(({ availability }) => availability.isBackedOff(now));
@@ -161,12 +171,12 @@
     return count;
   }
 
-  /** Learns from one call how long calls take at a usual target. */
+  /** Records how long a call would have taken at a typical idle target, in milliseconds. */
   recordWork(work: number): void {
     this.#work.add(work, this.options.clock.now());
   }
 
-  /** Takes it that targets came, went or changed. */
+  /** Clears the cached candidate pool after targets were added, removed or changed. */
   clearCandidatePool(): void {
     this.#candidatePool = undefined;
   }
@@ -183,8 +193,8 @@
   }
 
   /**
-   * Advises a call that has tried some targets already. One under which a target has ended goes where no other such
-   * call runs, to a target that has run for long where there is one.
+   * Chooses a target for a call, or advises it to wait. A suspected poison request goes to a target
+   * where no other suspect runs, preferably to one that has run for long.
    *
    * @param callsAhead calls that go first
    */
@@ -215,14 +225,14 @@
       hasNoSuspects(target) && now - target.record.born > MIN_LONG_RUNNING_AGE_MS;
     for (const isPreferred of [isLongRunning, hasNoSuspects]) {
       const choice = this.#chooseAmong(isPreferred, request, callsAhead);
-      // A suspect that waited for one of few targets would hold up who waits behind it.
+      // A suspect that waited for one of few targets would delay the calls queued behind it.
       if (choice.kind === 'now') return choice;
     }
     const choice = this.#chooseAmong(isAllowed, request, callsAhead);
     return choice.kind === 'none' ? { kind: 'none', wait: this.readBackoffRemaining() } : choice;
   }
 
-  /** Whether a call may go to a target that has room. */
+  /** Whether a call may go to a target, apart from its load and rate limit. */
   #isEligible(target: GatewayTarget, { tried, regions }: PlacementRequest): boolean {
     if (!target.isUsable || tried.has(target)) return false;
     return regions === undefined || this.#isInRegions(target, regions);
@@ -233,7 +243,10 @@
     return region !== undefined && regions.includes(region);
   }
 
-  /** Advises a call where all that is left has had what it takes: to wait for more of that, if some falls to us. */
+  /**
+   * Advises a call for which only rate-limited targets are left: to wait if this daemon has any
+   * part of their rates.
+   */
   #planRateLimitWait(request: PlacementRequest): TargetChoice<GatewayTarget> {
     let rate = 0;
     for (const target of this.targets.values()) {
@@ -248,7 +261,10 @@
     };
   }
 
-  /** Advises a call where every target that it could go to wants nothing for a time. */
+  /**
+   * Advises a call for which only targets in back-off are left: to wait until the first back-off
+   * ends.
+   */
   #planBackoffWait({ tried, regions }: PlacementRequest): TargetChoice<GatewayTarget> {
     const now = this.options.clock.now();
     let slots = 0;
@@ -264,7 +280,10 @@
     return { kind: 'wait', pace: 1 / slots, slowdown: 1, limit: 'backoff', opensIn };
   }
 
-  /** Time until the first target takes calls again; undefined where one does, or none has asked for a back-off. */
+  /**
+   * Returns the time until the first back-off ends, in milliseconds; undefined when a target is
+   * usable or none is in back-off.
+   */
   readBackoffRemaining(): number | undefined {
     const now = this.options.clock.now();
     let remaining: number | undefined;
@@ -304,8 +323,9 @@
   }
 
   /**
-   * How many times this daemon's calls all daemons have at the targets: it gets that part of the slots.
-   * After a restart callers meet at one home, whose part is nearly all.
+   * Measures the ratio of all daemons' calls at the targets to this daemon's. This daemon uses the
+   * inverse as its part of the slots. After a restart callers meet at one home, which then gets
+   * nearly all of them.
    */
   #measureCallRatio(homes: number, reportingHomes: number): number {
     const now = this.options.clock.now();
--- a/src/gateway/targets/target-set.ts
+++ b/src/gateway/targets/target-set.ts
@@ -1,4 +1,4 @@
-/** The targets in use, by service, kept in step with the view. */
+/** The targets in use, by service, kept in sync with the fleet view. */
 import type { FleetView } from '../../view/index.js';
 import type { LearnedState, LearnedServiceState } from '../learned-state.js';
 import { AvailabilityCache } from './availability-cache.js';
@@ -6,15 +6,15 @@
 import type { TargetListener } from './target-events.js';
 import { TargetService, type TargetServiceOptions } from './target-service.js';
 
-/** A daemon to which no call has come for this long serves none. */
+/** A daemon that received no call for this long is not serving. */
 const SERVING_TIMEOUT_MS = 1000;
 
-/** What the set is made from. */
+/** Options of the set of targets. */
 export interface TargetSetOptions extends TargetServiceOptions {
   readonly listener: TargetListener;
 }
 
-/** All targets of a daemon. */
+/** All targets of a daemon, by service. */
 export class TargetSet {
   readonly #services = new Map<string, TargetService>();
 
@@ -22,7 +22,7 @@
 
   #learnedState: LearnedState['services'] = {};
 
-  /** Services without a target that takes calls. */
+  /** Services none of whose targets is usable. */
   readonly #unavailableServices = new Set<TargetService>();
 
   /** Connections opened to targets since the start. */
@@ -34,7 +34,10 @@
     this.#availabilityCache = new AvailabilityCache(options.clock);
   }
 
-  /** Finds a service, known or not: targets may appear before or after the configuration. */
+  /**
+   * Returns a service, creating it on first use: targets may appear before or after the
+   * configuration.
+   */
   getService(name: string): TargetService {
     const existing = this.#services.get(name);
     if (existing !== undefined) return existing;
@@ -45,7 +48,7 @@
     return service;
   }
 
-  /** Takes what others have learnt of services. */
+  /** Applies the learned state of services that other daemons have stored. */
   restoreLearnedState(learnedState: LearnedState['services']): void {
     this.#learnedState = learnedState;
     for (const [name, service] of this.#services) {
@@ -54,7 +57,7 @@
     }
   }
 
-  /** What has been learnt here of services. */
+  /** Returns what this daemon has learned about its services. */
   readLearnedState(): LearnedState['services'] {
     const learnedState: Record<string, LearnedServiceState> = {};
     for (const [name, service] of this.#services) {
@@ -64,12 +67,12 @@
     return learnedState;
   }
 
-  /** The services in use. */
+  /** Lists the services in use. */
   listServices(): readonly TargetService[] {
     return [...this.#services.values()];
   }
 
-  /** Takes the targets of the view. */
+  /** Applies the targets and evacuations of the fleet view. */
   update(view: FleetView): void {
     const listed = new Map(
       view.listTargets().map((target) => [target.record.incarnation, target] as const),
@@ -77,7 +80,8 @@
     for (const service of this.#services.values()) {
       for (const [incarnation, target] of service.targets) {
         const record = listed.get(incarnation)?.record;
-        // A later start under the same name knows nothing of this one: it is another target.
+        // A later start under the same name shares no state with this one, so it counts as another
+        // target.
         if (record?.service === service.name && record.born === target.record.born) continue;
         service.targets.delete(incarnation);
         service.clearCandidatePool();
@@ -94,7 +98,7 @@
       const existing = targets.get(incarnation);
       if (existing !== undefined) {
         if (existing.record.domain !== entry.record.domain) service.clearCandidatePool();
-        // Nobody asked it meanwhile, and it may have turned cold.
+        // It was not probed while evacuated, and may have become cold.
         if (existing.isEvacuated && !isEvacuated) {
           existing.warmUp.suspectCold(
             this.options.clock.now() + this.#readColdStartDuration(service),
@@ -121,23 +125,26 @@
     }
   }
 
-  /** Where nothing limits what cold targets get, none is taken for cold on suspicion. */
+  /** Without a limit for cold targets, none is assumed to be cold. */
   #readColdStartDuration({ name }: TargetService): number {
     const { rate, duration } = this.options.readColdStartLimits(name);
     return rate === Infinity ? 0 : duration;
   }
 
-  /** Whether calls come to this daemon, be it a few a second. */
+  /** Whether this daemon receives calls, even if only a few a second. */
   isServing(now: number): boolean {
     return this.listServices().some((service) => now - service.lastCallAt < SERVING_TIMEOUT_MS);
   }
 
-  /** Finds a target by the number that stands for it between daemons. */
+  /** Finds a target by its hash in datagrams between daemons. */
   findByHash(hash: number): GatewayTarget | undefined {
     return this.#targetsByHash.get(hash);
   }
 
-  /** Closes connections that have rested too long, and tells of services that no target takes calls of. */
+  /**
+   * Closes expired idle connections, and reports ended back-offs and services that lost or regained
+   * their last usable target.
+   */
   runPeriodicChecks(): void {
     for (const service of this.#services.values()) {
       for (const target of service.targets.values()) {
--- a/src/gateway/targets/target.ts
+++ b/src/gateway/targets/target.ts
@@ -1,4 +1,6 @@
-/** One target as this daemon uses it: its entry in the list, its load, its failures, its connections. */
+/**
+ * One target as this daemon uses it: its entry in the fleet view, load, failures and connections.
+ */
 import {
   FailureRate,
   type KneeEstimate,
@@ -29,22 +31,26 @@
 import { hashIncarnation } from './incarnation-hash.js';
 import type { TargetListener } from './target-events.js';
 
-/** A target where a call is stuck is avoided for this long, in milliseconds, unless another one is. */
+/** How long other targets are preferred to one with a stuck call. */
 const STUCK_AVOIDANCE_MS = 1500;
 
-/** A target that ran slow after its start works this many times longer at first; told by the users. */
+/** Expected slowdown of a target during cold start. */
 const COLD_START_SLOWDOWN = 2;
 
-/** A target that has spoilt the order of answers gets a new connection for each call this long. */
+/**
+ * How long connections are not reused after a target sent bytes that belong to no call: every call
+ * gets a new connection.
+ */
 const NO_REUSE_MS = 10_000;
 
 /**
- * A call that was lost this long before a later start of the target was heard of may have ended it, in milliseconds:
- * some heartbeats, as a supervisor may start a process again before anybody finds that nobody listens.
+ * A call that was lost no longer than this before its target restarted may have caused the restart.
+ * Several heartbeats long, because a supervisor may restart a process before any daemon finds its
+ * port closed.
  */
 const LOSS_RETENTION_MS = 5000;
 
-/** Calls remembered as lost: some times what a target runs at once. */
+/** Lost calls kept per target: several times the number that a target runs concurrently. */
 const MAX_LOSSES = 32;
 
 interface LostCall {
@@ -52,76 +58,80 @@
   readonly onEnded: () => void;
 }
 
-/** Reports this slow make calls there look for another target. */
+/** From this slowdown on, calls in flight at the target look for another one. */
 const SLOW_THRESHOLD = 2.5;
 
-/** What a view of a target depends on besides the target. */
+/** What the assessment of a target depends on besides the target. */
 export interface CandidateContext {
-  /** How slow the targets of the service are, and for how long one stays so. */
+  /** Typical slowdowns of the service's targets, and how long a report stays valid. */
   readonly slowdownParameters: SlowdownParameters;
   /** The failure domain of this daemon. */
   readonly domain: string;
-  /** Daemons that send calls to the target. */
+  /** Number of home daemons that send calls to the target. */
   readonly homes: number;
-  /** Other homes that have told of their calls of late. */
+  /** Number of other homes that sent load reports recently. */
   readonly reportingHomes: number;
   readonly knee: KneeEstimate;
 }
 
-/** The answer that a target's report came with. */
+/** The response that carried a target's report. */
 export interface ReportOrigin {
   /** When the request was sent, in milliseconds on this daemon's clock. */
   readonly sentAt: number;
-  /** This daemon's calls that the report may count. */
+  /** Calls of this daemon that the report may include. */
   readonly ownCalls: number;
-  /** Whether it is a good answer to a call; only such a one says by its silence that the target names no rate. */
+  /**
+   * Whether the response is a successful answer to a call. Only then does a missing rate header
+   * mean that the target advertises no rate.
+   */
   readonly isSuccess: boolean;
 }
 
-/** What a target in use is made from. */
+/** Options of a target in use. */
 export interface GatewayTargetOptions {
-  /** What its service learns from its reports. */
+  /** Slowdown model of the target's service, which learns from the target's reports. */
   readonly slowdownModel: SlowdownModel;
-  /** Called for each connection opened. */
+  /** Called for each connection that is opened. */
   readonly onConnectionOpened: () => void;
   readonly listener: TargetListener;
-  /** What this incarnation has said before. */
+  /** What this incarnation stated earlier about its availability. */
   readonly availability: Availability;
 }
 
-/** The release of a target; those that say none count as one. */
+/** Returns the release of a target; targets without one count as the same release. */
 export function readRelease({ release = '' }: TargetRecord): string {
   return release;
 }
 
-/** A target in use. */
+/** A target in use, with everything that this daemon tracks about it. */
 export class GatewayTarget {
+  /** The estimate of its load: calls in flight and slowdown. */
   readonly load = new LoadEstimate();
 
   readonly connections: TargetConnections;
 
-  /** Its last reports of how slow it is. */
+  /** Its latest slowdown reports. */
   readonly slowdownHistory: SlowdownHistory;
 
-  /** Until when it is cold, as far as is known. */
+  /** Until when the target is in cold start, as far as known. */
   readonly warmUp = new WarmUpState();
 
-  /** What came of its calls of late. */
+  /** Failure rate of recent calls. */
   readonly failureRate = new FailureRate();
 
-  /** The rate that it has said it takes. */
+  /** The request rate that the target advertises. */
   readonly advertisedRate = new AdvertisedRate();
 
-  /** What it has said of whether it takes requests from here. */
+  /** Draining and back-off, as stated by the target. */
   readonly availability: Availability;
 
-  /** What this daemon may send there while all of them keep to a rate. */
+  /** Limits this daemon's calls to its part of a rate that all daemons share. */
   readonly rateLimiter = new RateLimiter();
 
-  /** Calls that were sent there of late. */
+  /** Counts calls sent recently. */
   readonly recentSends = new SendCounter();
 
-  /** Stands for the incarnation in datagrams between daemons. */
+  /** Identifies the incarnation in datagrams between daemons. */
   readonly hash: number;
 
   #entry: ListedTarget;
@@ -140,16 +150,16 @@
 
   #isEvacuated = false;
 
-  /** Calls that were lost here of late, and whom to tell if the target turns out to have ended then. */
+  /** Calls lost here recently, each with a callback for the case that the target had ended. */
   #lostCalls: readonly LostCall[] = [];
 
-  /** Calls from here under which targets have ended before. */
+  /** Number of this daemon's calls running there that are suspected poison requests. */
   suspectCalls = 0;
 
-  /** When this daemon last sent a probe there. */
+  /** When this daemon last sent a probe there, in milliseconds on its clock. */
   lastProbeAt = -Infinity;
 
-  /** Called when the target has turned slow, so that calls there can look for another one. */
+  /** Called when the target becomes slow, so that its calls can look for another one. */
   readonly slowListeners = new Set<() => void>();
 
   constructor(
@@ -166,17 +176,17 @@
     this.connections = new TargetConnections(entry.record.address, clock, onConnectionOpened);
   }
 
-  /** The target's entry. */
+  /** The target's entry in the fleet view. */
   get record(): TargetRecord {
     return this.#entry.record;
   }
 
-  /** Whether new calls may go there. */
+  /** Whether the target may get new calls. */
   get isUsable(): boolean {
     return this.#isEligible && !this.availability.isBackedOff(this.clock.now());
   }
 
-  /** Whether it wants nothing from this daemon for a time, and would get calls otherwise. */
+  /** Whether only a back-off that it asked this daemon for keeps new calls away. */
   get isBackedOff(): boolean {
     return this.#isEligible && this.availability.isBackedOff(this.clock.now());
   }
@@ -186,8 +196,8 @@
   }
 
   /**
-   * Whether the target has ended without having said that it would. One that resets a connection, is cut off or
-   * frozen has not: of those nobody refuses a new connection.
+   * Checks whether the target ended without announcing it, by opening a connection. Only a refused
+   * connection counts: a target that resets a connection, is cut off or frozen refuses none.
    */
   async checkEnded(): Promise<boolean> {
     if (this.#isLeaving) return false;
@@ -195,14 +205,18 @@
     return listenState === 'nobody' && !this.#isLeaving;
   }
 
-  /** Notes that a call was lost here, without a sign that the target ended. */
+  /**
+   * Records a call that was lost here without a sign that the target ended.
+   *
+   * @param onEnded called if the target turns out to have ended around that time
+   */
   recordLoss(onEnded: () => void): void {
     const at = this.clock.now();
     const recent = this.#lostCalls.filter((loss) => at - loss.at < LOSS_RETENTION_MS);
     this.#lostCalls = [...recent, { at, onEnded }].slice(-MAX_LOSSES);
   }
 
-  /** Notes that the target is in use no more. @param isRestarted whether a later start took its name */
+  /** Stops using the target. @param isRestarted whether a later start took over its name */
   close(isRestarted: boolean): void {
     this.#isClosed = true;
     this.connections.close();
@@ -222,9 +236,9 @@
   }
 
   /**
-   * Takes a newer entry.
+   * Applies a newer entry.
    *
-   * @param isEvacuated whether its failure domain takes no calls
+   * @param isEvacuated whether its failure domain is evacuated and takes no calls
    */
   update(entry: ListedTarget, isEvacuated: boolean): void {
     if (entry.coldUntil !== this.#entry.coldUntil) this.warmUp.suspectCold(entry.coldUntil);
@@ -237,19 +251,19 @@
     return this.#isMisdirected;
   }
 
-  /** Whether its failure domain takes no calls. */
+  /** Whether its failure domain is evacuated and takes no calls. */
   get isEvacuated(): boolean {
     return this.#isEvacuated;
   }
 
-  /** Counts a call that is sent there now. */
+  /** Counts a call that is sent to the target now. */
   start(now: number): void {
     this.load.start(now);
     this.recentSends.record(now);
     this.rateLimiter.take();
   }
 
-  /** Views the target for the choice. */
+  /** Describes the target's current state for the choice among targets. */
   createCandidateLoad({
     slowdownParameters,
     domain,
@@ -264,29 +278,33 @@
       slowdown: this.slowdownHistory.estimate(now, slowdownParameters),
       coldFactor: this.warmUp.isCold(now) ? COLD_START_SLOWDOWN : 1,
       failureRatio: this.failureRate.read(now),
-      // What runs beside a suspect may end with it, so others go elsewhere while there is room.
+      // Calls that run beside a suspected poison request may be lost with it, so other calls prefer
+      // other targets.
       isSuspect: this.#isUnhealthy || now < this.#avoidedUntil || this.suspectCalls > 0,
       isOtherDomain: this.record.domain !== domain,
     };
   }
 
-  /** Notes that a call failed there; where the target has asked for a back-off, that alone keeps calls away. */
+  /**
+   * Records a failed call. During a back-off failures don't count: the back-off alone keeps calls
+   * away.
+   */
   recordFailure(): void {
     if (this.availability.isBackedOff(this.clock.now())) return;
     this.failureRate.recordFailure(this.clock.now());
   }
 
-  /** Notes that a call was answered well there. */
+  /** Records a successful call. */
   recordSuccess(): void {
     this.failureRate.recordSuccess(this.clock.now());
   }
 
-  /** Notes that a call has been there for far too long. */
+  /** Records that a call has been running far too long. */
   recordStuckCall(): void {
     this.#avoidedUntil = this.clock.now() + STUCK_AVOIDANCE_MS;
   }
 
-  /** Notes that bytes came that belong to no call: connections are not used twice for a while. */
+  /** Records that bytes arrived that belong to no call. For a while connections are not reused. */
   recordStrayBytes(): void {
     this.#noReuseUntil = this.clock.now() + NO_REUSE_MS;
     this.connections.close();
@@ -297,17 +315,17 @@
     return this.clock.now() >= this.#noReuseUntil;
   }
 
-  /** Notes that another incarnation answers at this address. */
+  /** Records that another incarnation answers at the target's address. */
   recordMisdirected(): void {
     this.#isMisdirected = true;
   }
 
-  /** Takes the outcome of a health check. */
+  /** Records the outcome of a health check. */
   recordHealth(isHealthy: boolean): void {
     this.#isUnhealthy = !isHealthy;
   }
 
-  /** Takes what the head of an answer says. */
+  /** Applies what the head of a response states about the target. */
   receiveReport(report: SelfReport, { sentAt, ownCalls, isSuccess }: ReportOrigin): void {
     const { incarnation = this.record.incarnation } = report;
     if (report.isMisdirected || incarnation !== this.record.incarnation) {
@@ -322,7 +340,7 @@
     this.#receiveBackoff(report.backoff);
   }
 
-  /** Takes whether an answer says that the target drains. */
+  /** Applies the draining header of a response. */
   receiveDraining(reported: ReportedDraining): void {
     const { listener } = this.options;
     if (reported.kind === 'unreadable') {
@@ -331,7 +349,11 @@
     if (reported.kind === 'draining') this.#recordDraining(this.clock.now());
   }
 
-  /** Takes it from another daemon that the target drains. @param age how long ago it said so, in milliseconds */
+  /**
+   * Applies another daemon's report that the target is draining.
+   *
+   * @param age time since the target announced it, in milliseconds
+   */
   receivePeerDraining(from: string, age: number): void {
     this.#recordDraining(this.clock.now() - age, from);
   }
@@ -353,14 +375,14 @@
     }
   }
 
-  /** Tells once that a back-off is over. */
+  /** Reports the end of a back-off, once for each. */
   checkBackoffEnd(): void {
     if (!this.#isBackoffReported || this.availability.isBackedOff(this.clock.now())) return;
     this.#isBackoffReported = false;
     this.options.listener.onBackoffEnd(this);
   }
 
-  /** Takes a load report. @param ownCalls this daemon's calls that the report may count */
+  /** Applies a load report. @param own calls of this daemon that the report may include */
   recordLoad(report: LoadReport | undefined, ownCalls: number): void {
     if (report === undefined) return;
     const before = this.load.lastSlowdown;
@@ -370,10 +392,10 @@
   }
 
   /**
-   * Takes what an answer says of the rate.
+   * Applies the rate header of a response.
    *
-   * @param sentAt when the call was sent: an answer that names no rate was made after that, and nothing else is known
-   *   of when, so it ends no rate that was named since
+   * @param sentAt when the call was sent. A response without a rate was produced at an unknown time
+   * after that, so it ends only rates that were advertised before.
    */
   #receiveRate(reported: ReportedRate, sentAt: number): void {
     switch (reported.kind) {
@@ -392,7 +414,7 @@
     }
   }
 
-  /** @param home the daemon that told of it, when the target itself did not */
+  /** @param home the daemon that relayed the rate, when it does not come from the target itself */
   #recordRate(announcement: RateAnnouncement, home?: string): void {
     const now = this.clock.now();
     const change = this.advertisedRate.observe(announcement, now, home === undefined);
@@ -401,7 +423,7 @@
     listener.onRateChange(this, { ...change, age: now - announcement.at, from: home ?? 'target' });
   }
 
-  /** Takes what another home knows of the target. */
+  /** Applies a load report of another home. */
   receivePeerLoad(
     home: string,
     { inFlight, slowdown, age, advertisedRate }: TargetLoadReport,
