--- a/test/backoff.test.ts
+++ b/test/backoff.test.ts
@@ -5,9 +5,9 @@
 import type { SiteTarget } from '../src/standin/index.js';
 import { type CallerReply, Site, sendTo } from './helpers/gateways.js';
 
-const SECOND = 1000;
+const SECOND_MS = 1000;
 
-/** Sends requests to each daemon, two at a time, for a while. */
+/** Sends requests to each daemon for a while, two concurrently, and returns the replies. */
 async function sendFor(
   ips: readonly string[],
   time: number,
@@ -15,27 +15,28 @@
 ): Promise<readonly CallerReply[]> {
   const until = performance.now() + time;
   const replies: CallerReply[] = [];
-  const sendOn = async (ip: string) => {
+  const sendRepeatedly = async (ip: string) => {
     while (performance.now() < until) {
       replies.push(await sendTo(ip, { deadline }));
       await pause(10);
     }
   };
-  await Promise.all(ips.flatMap((ip) => [sendOn(ip), sendOn(ip)]));
+  await Promise.all(ips.flatMap((ip) => [sendRepeatedly(ip), sendRepeatedly(ip)]));
   return replies;
 }
 
-// Guards against sending more to a target that has rejected a request and asked for some seconds without any.
-describe('a target that asks to be left alone for a time', () => {
+// Guards against sending requests to a target that has rejected one and asked for a back-off of
+// some seconds.
+describe('a target that asks for a back-off', () => {
   let site: Site;
   let target: SiteTarget;
   let others: SiteTarget[];
   let arrivals: number[];
   let ips: string[];
-  /** How it answers the next requests; well once there is nothing more. */
+  /** How the target rejects its next requests; it answers well when the list is empty. */
   let rejections: ((response: Parameters<SiteTarget['reject']>[0]) => void)[];
 
-  const startSite = async (besides: number, daemons = 1) => {
+  const startSite = async (otherTargets: number, daemons = 1) => {
     site = await new Site().start([{ prefix: '/a/', attempts: 3 }]);
     target = await site.addTarget();
     arrivals = [];
@@ -47,38 +48,38 @@
       else reject(response);
     };
     others = [];
-    for (let index = 0; index < besides; index += 1) others.push(await site.addTarget());
+    for (let index = 0; index < otherTargets; index += 1) others.push(await site.addTarget());
     ips = [await site.addGateway()];
     while (ips.length < daemons) ips.push(await site.addGateway([ips[0]]));
-    if (daemons > 1) await pause(SECOND);
+    if (daemons > 1) await pause(SECOND_MS);
     await sendFor(ips, 300);
     arrivals.length = 0;
   };
-  /** What reaches the target later than this was sent after its word was read. */
-  const READ = 50;
+  /** Requests that arrive later than this after the rejection were sent when it had been read. */
+  const READ_DELAY_MS = 50;
   const countBetween = (from: number, to: number) =>
     arrivals.filter((at) => at >= arrivals[0] + from && at < arrivals[0] + to).length;
 
   afterEach(() => site.stop());
 
-  for (const [what, rejectWith] of [
-    ['which it says that it did not run', { 'Not-Executed': '1' }],
-    ['of which it does not say so', { 'Server-Signature': 's' }],
+  for (const [what, headers] of [
+    ['that states the request was not run', { 'Not-Executed': '1' }],
+    ['that does not state whether the request was run', { 'Server-Signature': 's' }],
   ] as const) {
-    it(`with a rejection ${what} gets nothing meanwhile, and its share soon after`, async () => {
+    it(`by a rejection ${what} gets no requests meanwhile, and its share soon after`, async () => {
       await startSite(2);
       rejections.push((response) =>
-        response.writeHead(503, { ...rejectWith, 'Retry-After': '1.5' }).end(),
+        response.writeHead(503, { ...headers, 'Retry-After': '1.5' }).end(),
       );
-      const replies = await sendFor(ips, 4 * SECOND);
-      expect(countBetween(READ, 1500)).to.equal(0);
+      const replies = await sendFor(ips, 4 * SECOND_MS);
+      expect(countBetween(READ_DELAY_MS, 1500)).to.equal(0);
       expect(countBetween(2500, 3500)).to.be.greaterThan(20);
       const served = replies.filter(({ status }) => status === 200).length;
       expect(served).to.be.within(replies.length - 1, replies.length);
     });
   }
 
-  it('gets nothing by repeats of what the others reject, nor by second attempts', async () => {
+  it('gets neither retries of requests that other targets rejected nor hedged attempts', async () => {
     await startSite(2);
     rejections.push((response) => target.reject(response, '3'));
     await sendFor(ips, 300);
@@ -90,21 +91,21 @@
       };
     }
     await sendFor(ips, 1500);
-    expect(countBetween(READ, 2900)).to.equal(0);
+    expect(countBetween(READ_DELAY_MS, 2900)).to.equal(0);
   });
 
-  it('binds the daemon that was asked, and no other one', async () => {
+  it('gets no requests from the daemon that it asked, but still gets them from others', async () => {
     await startSite(2, 2);
     rejections.push((response) => target.reject(response, '2'));
     await sendFor([ips[0]], 500);
-    // A second one may have been on its way when the first was rejected.
+    // A second request may have been in transit when the first was rejected.
     expect(arrivals.length).to.be.within(1, 2);
-    expect(countBetween(READ, 2000)).to.equal(0);
-    await sendFor([ips[1]], SECOND);
+    expect(countBetween(READ_DELAY_MS, 2000)).to.equal(0);
+    await sendFor([ips[1]], SECOND_MS);
     expect(arrivals.length).to.be.greaterThan(5);
   });
 
-  it('holds to the latest end that it asked for', async () => {
+  it('gets no requests until the latest end when it asks several times', async () => {
     await startSite(0);
     let first: ServerResponse | undefined;
     rejections.push(
@@ -123,25 +124,25 @@
     await sendFor(ips, 3500, 800);
     const count = (from: number, to: number) =>
       arrivals.filter((at) => at >= rejectedAt + from && at < rejectedAt + to).length;
-    expect(count(READ, 2000)).to.equal(0);
+    expect(count(READ_DELAY_MS, 2000)).to.equal(0);
     expect(count(2000, 3000)).to.be.greaterThan(1);
   });
 
-  it('and is the only one leaves callers told when it is back, at once', async () => {
+  it('and is the only one: callers are refused at once, with the time of its return', async () => {
     await startSite(0);
     rejections.push((response) => target.reject(response, '3'));
     await sendTo(ips[0]);
-    const replies = await sendFor(ips, SECOND, 800);
+    const replies = await sendFor(ips, SECOND_MS, 800);
     expect(replies.length).to.be.greaterThan(50);
     for (const { status, took, headers } of replies) {
       expect(status).to.equal(503);
       expect(took).to.be.lessThan(200);
       expect(Number(headers['retry-after'])).to.be.within(1.5, 4.5);
     }
-    expect(countBetween(READ, 3000)).to.equal(0);
+    expect(countBetween(READ_DELAY_MS, 3000)).to.equal(0);
   });
 
-  it('and is the only one is waited for where that ends in time', async () => {
+  it('and is the only one: a request waits if the back-off ends in time', async () => {
     await startSite(0);
     rejections.push((response) => target.reject(response, '0.3'));
     await sendTo(ips[0]);
@@ -151,9 +152,9 @@
   });
 
   for (const text of ['0', '-1', 'NaN', 'Infinity', 'Thu, 03 Dec 2026 10:00:00 GMT', 'soon']) {
-    it(`by ${JSON.stringify(text)} is used as before`, async () => {
+    it(`with an invalid time (${JSON.stringify(text)}) gets requests as before`, async () => {
       await startSite(2);
-      // What it has rejected counts as a failure, for which others are preferred unless they are slow.
+      // A rejection counts as a failure, so the others are preferred unless they are slow.
       for (const other of others) other.slowdown = 700;
       rejections.push((response) => target.reject(response, text));
       await sendFor(ips, 1500);
@@ -161,7 +162,7 @@
     });
   }
 
-  it('with another status than that of a rejection is used as before', async () => {
+  it('with a status other than that of a rejection gets requests as before', async () => {
     await startSite(2);
     for (const other of others) other.slowdown = 700;
     rejections.push((response) =>
@@ -173,22 +174,22 @@
 });
 
 describe('a back-off', () => {
-  const MINUTE = 60_000;
+  const MINUTE_MS = 60_000;
 
-  it('of hours ends after ten minutes: a wrong value must not take a service away', () => {
+  it('is limited to ten minutes, so that a wrong value does not disable a service', () => {
     const standing = new Availability();
-    expect(standing.recordBackoff(7200 * SECOND, 0)).to.equal(true);
-    expect(standing.isBackedOff(10 * MINUTE - 1)).to.equal(true);
-    expect(standing.isBackedOff(10 * MINUTE)).to.equal(false);
+    expect(standing.recordBackoff(7200 * SECOND_MS, 0)).to.equal(true);
+    expect(standing.isBackedOff(10 * MINUTE_MS - 1)).to.equal(true);
+    expect(standing.isBackedOff(10 * MINUTE_MS)).to.equal(false);
   });
-  it('that ends before the one that is known is no news', () => {
+  it('that ends earlier than the known one changes nothing', () => {
     const standing = new Availability();
     expect(standing.recordBackoff(2000, 0)).to.equal(true);
     expect(standing.recordBackoff(500, 100)).to.equal(false);
     expect(standing.recordBackoff(0, 5000)).to.equal(false);
     expect(standing.backoffUntil).to.equal(2000);
   });
-  it('is followed by ever more calls, until nothing limits them a second later', () => {
+  it('is followed by a rising rate limit that is lifted after a second', () => {
     const standing = new Availability();
     expect(standing.readRampRate(0)).to.equal(undefined);
     standing.recordBackoff(1000, 0);
--- a/test/draining.test.ts
+++ b/test/draining.test.ts
@@ -9,70 +9,74 @@
 import { type CallerReply, Site, sendTo } from './helpers/gateways.js';
 import { createTargets, createView } from './helpers/targets.js';
 
-/** News of one daemon have reached the others after this long, in milliseconds. */
-const SPREAD = 1000;
+/** Time after which a report of one daemon has reached the others, in milliseconds. */
+const PROPAGATION_MS = 1000;
 
-const WORK = 10;
+const WORK_MS = 10;
 
-/** Lets a target take its time, and notes when each request comes. */
-function watchArrivals(target: SiteTarget): readonly number[] {
+/** Makes a target take some time for each request, and records when each arrives. */
+function recordArrivals(target: SiteTarget): readonly number[] {
   const arrivals: number[] = [];
   target.behaviour = (request, response) => {
     arrivals.push(performance.now());
-    setTimeout(() => target.answer(request, response), WORK);
+    setTimeout(() => target.answer(request, response), WORK_MS);
   };
   return arrivals;
 }
 
-/** Sends requests to each daemon, two at a time, for a while. */
+/** Sends requests to each daemon for a while, two concurrently, and returns the replies. */
 async function sendFor(ips: readonly string[], time: number): Promise<readonly CallerReply[]> {
   const until = performance.now() + time;
   const replies: CallerReply[] = [];
-  const sendOn = async (ip: string) => {
+  const sendRepeatedly = async (ip: string) => {
     while (performance.now() < until) {
       replies.push(await sendTo(ip));
       await pause(10);
     }
   };
-  await Promise.all(ips.flatMap((ip) => [sendOn(ip), sendOn(ip)]));
+  await Promise.all(ips.flatMap((ip) => [sendRepeatedly(ip), sendRepeatedly(ip)]));
   return replies;
 }
 
-// Guards against sending requests to a target whose answers say that it leaves, while its entry says that it is ready.
-describe('a target whose answers say that it drains', () => {
+// Guards against sending requests to a target that announces its shutdown in its responses, while
+// its entry still says that it is ready.
+describe('a target whose responses state that it is draining', () => {
   let site: Site;
   let target: SiteTarget;
   let others: SiteTarget[];
   let arrivals: readonly number[];
   let ips: string[];
 
-  const startSite = async (daemons: number, besides: number) => {
+  const startSite = async (daemons: number, otherTargets: number) => {
     site = await new Site().start([{ prefix: '/a/', attempts: 3 }]);
     target = await site.addTarget();
-    arrivals = watchArrivals(target);
+    arrivals = recordArrivals(target);
     others = [];
-    for (let index = 0; index < besides; index += 1) others.push(await site.addTarget());
-    for (const other of others) watchArrivals(other);
+    for (let index = 0; index < otherTargets; index += 1) others.push(await site.addTarget());
+    for (const other of others) recordArrivals(other);
     ips = [await site.addGateway()];
     while (ips.length < daemons) ips.push(await site.addGateway([ips[0]]));
     await pause(daemons === 1 ? 0 : 1000);
   };
   const countSince = (since: number) => arrivals.filter((at) => at >= since).length;
-  /** Lets the target say so once to the first daemon; what was on its way then has arrived. */
-  const letSay = async () => {
+  /**
+   * Makes the target state that it is draining, and waits until the first daemon has received it
+   * and all requests in transit have arrived.
+   */
+  const stateDraining = async () => {
     target.draining = '1';
     const before = arrivals.length;
-    for (let turn = 0; arrivals.length === before && turn < 200; turn += 1) await sendTo(ips[0]);
-    expect(arrivals.length, 'requests until it has said so').to.be.greaterThan(before);
-    await pause(3 * WORK);
+    for (let tries = 0; arrivals.length === before && tries < 200; tries += 1) await sendTo(ips[0]);
+    expect(arrivals.length, 'requests until it has stated it').to.be.greaterThan(before);
+    await pause(3 * WORK_MS);
   };
 
   afterEach(() => site.stop());
 
-  it('gets no request any more from the daemon that it told, whatever its entry says', async () => {
+  it('gets no more requests from the daemon that got the response, whatever its entry says', async () => {
     await startSite(1, 2);
     await sendFor(ips, 300);
-    await letSay();
+    await stateDraining();
     const since = performance.now();
     for (let seq = 10; seq < 14; seq += 1) {
       site.putTarget(target, { seq });
@@ -90,7 +94,7 @@
         response.writeHead(500, { 'Server-Leaving': '1', 'Server-Signature': 's' }).end(),
     ],
   ] as const) {
-    it(`gets none after ${what} that says so`, async () => {
+    it(`gets no requests after ${what} that states it`, async () => {
       await startSite(1, 2);
       target.draining = '1';
       const behave = answer(target) as NonNullable<SiteTarget['behaviour']>;
@@ -100,28 +104,28 @@
         behave(request, response);
       };
       await sendFor(ips, 1500);
-      // Two callers at a time: the second one may be on its way when the first is answered.
+      // Two requests run concurrently: the second may be in transit when the first is answered.
       expect(times.length).to.be.within(1, 2);
     });
   }
 
-  it('gets none after a health answer that says so', async () => {
+  it('gets no requests after a health check that states it', async () => {
     await startSite(1, 2);
     await sendFor(ips, 300);
     target.healthDraining = '1';
-    let toldAt = Infinity;
+    let statedAt = Infinity;
     target.onProbe = () => {
-      toldAt = Math.min(toldAt, performance.now());
+      statedAt = Math.min(statedAt, performance.now());
     };
     await sendFor(ips, 1500);
-    expect(toldAt).to.be.lessThan(Infinity);
-    expect(countSince(toldAt + 100)).to.equal(0);
+    expect(statedAt).to.be.lessThan(Infinity);
+    expect(countSince(statedAt + 100)).to.equal(0);
   });
 
-  it('gets none by repeats of what the others reject, nor by second attempts', async () => {
+  it('gets neither retries of requests that other targets rejected nor hedged attempts', async () => {
     await startSite(1, 2);
     await sendFor(ips, 300);
-    await letSay();
+    await stateDraining();
     const since = performance.now();
     for (const other of others) other.behaviour = (_request, response) => other.reject(response);
     await sendFor(ips, 500);
@@ -134,10 +138,10 @@
     expect(countSince(since)).to.equal(0);
   });
 
-  it('gets none when its entry lapses and comes back, and is used again after a new start', async () => {
+  it('gets no requests when its entry lapses and returns, but gets them after a restart', async () => {
     await startSite(1, 2);
     await sendFor(ips, 300);
-    await letSay();
+    await stateDraining();
     const since = performance.now();
     site.store.remove(KEYS.targets + target.incarnation);
     await sendFor(ips, 500);
@@ -150,19 +154,19 @@
     expect(countSince(since)).to.be.greaterThan(5);
   });
 
-  it('gets none from the other daemons, which are told', async () => {
+  it('gets no requests from the other daemons, to which it is reported', async () => {
     await startSite(3, 2);
     await sendFor(ips, 300);
-    await letSay();
-    // What it says itself from here on tells nobody anything.
+    await stateDraining();
+    // From here on its own responses don't state it any more.
     target.draining = undefined;
-    await pause(SPREAD);
+    await pause(PROPAGATION_MS);
     const since = performance.now();
     await sendFor(ips, 1500);
     expect(countSince(since)).to.equal(0);
   });
 
-  it('gets no request whose connection came up after that was known', async () => {
+  it('gets no request whose connection opens after the draining is known', async () => {
     const clock = createSystemClock();
     const targets = createTargets(clock);
     const view = createView();
@@ -175,25 +179,25 @@
       0,
     );
     targets.update(view);
-    const [slow] = targets.getService('alpha').targets.values();
+    const [drainingTarget] = targets.getService('alpha').targets.values();
     let connect: (result: ConnectionResult) => void = () => undefined;
-    slow.connections.take = () =>
+    drainingTarget.connections.take = () =>
       new Promise((resolve) => {
         connect = resolve;
       });
     const freed: string[] = [];
     const sending = { requestId: '1', method: 'GET', path: '/', headers: [], body: undefined };
-    const attempt = startTargetAttempt(slow, sending, { isRepeatable: false, clock });
-    slow.receiveDraining({ kind: 'draining' });
+    const attempt = startTargetAttempt(drainingTarget, sending, { isRepeatable: false, clock });
+    drainingTarget.receiveDraining({ kind: 'draining' });
     const socket = { emit: (event: string) => freed.push(event) };
     connect({ kind: 'connected', connection: { socket } as never });
     expect((await attempt.done).kind).to.equal('withdrawn');
     expect(freed).to.deep.equal(['free']);
   });
 
-  it('and is the last one leaves callers told so at once, until a new one comes', async () => {
+  it('and is the last one: callers are refused at once, until a new target starts', async () => {
     await startSite(1, 0);
-    await letSay();
+    await stateDraining();
     for (const { status, took, headers } of await sendFor(ips, 500)) {
       expect(status).to.equal(503);
       expect(took).to.be.lessThan(200);
@@ -214,14 +218,14 @@
     expect(performance.now() - startedAt).to.be.lessThan(1000);
   });
 
-  it('and others with it leave no target with more than its slots at once', async () => {
+  it('together with others: no other target gets more concurrent requests than its slots', async () => {
     await startSite(1, 5);
     let running = 0;
-    let most = 0;
+    let maxRunning = 0;
     const last = others[4];
     last.behaviour = (request, response) => {
       running += 1;
-      most = Math.max(most, running);
+      maxRunning = Math.max(maxRunning, running);
       setTimeout(() => {
         running -= 1;
         last.answer(request, response);
@@ -230,7 +234,7 @@
     for (const it of [target, ...others.slice(0, 4)]) it.draining = '1';
     const all = Array.from({ length: 10 }, () => sendFor(ips, 1000));
     const replies = (await Promise.all(all)).flat();
-    expect(most).to.be.within(1, 4);
+    expect(maxRunning).to.be.within(1, 4);
     expect(replies.every(({ status }) => status === 200 || status === 503)).to.equal(true);
   });
 });
--- a/test/evacuation.test.ts
+++ b/test/evacuation.test.ts
@@ -1,7 +1,9 @@
 /**
- * Seen on the users' platform: an operator asked that nothing more go to the targets of a failure domain, and
- * some thousands of requests went there, as no daemon read the request. What is asked has to reach every daemon in
- * the ways that a configuration does, and to hold on every way to a target.
+ * Guards against evacuations that are ignored: an operator requested that no more requests go to
+ * the targets of a failure domain, no daemon read that, and thousands of requests went there.
+ *
+ * An evacuation has to reach every daemon in the same ways as a configuration, and has to apply to
+ * every way of sending a request to a target.
  */
 import { expect } from 'chai';
 import { pause } from '../src/demo/index.js';
@@ -13,10 +15,13 @@
 
 const EVACUATE = 'op/evacuate/';
 
-/** Well within the seconds that operators allow, with the processor of a test machine. */
-const SOON = 1200;
+/**
+ * Time after which an evacuation is in effect, in milliseconds: well below the seconds that
+ * operators allow, long enough for a slow test machine.
+ */
+const TAKE_EFFECT_MS = 1200;
 
-describe('a failure domain that is evacuated', () => {
+describe('an evacuated failure domain', () => {
   let site: Site;
   let here: SiteTarget;
   let there: SiteTarget;
@@ -33,18 +38,18 @@
     return statuses;
   }
 
-  it('gets no requests and no probes, until the operator takes that back', async () => {
+  it('gets no requests and no probes until the operator undoes the evacuation', async () => {
     const ip = await site.addGateway();
     await sendMany(ip, 5);
     site.store.put(`${EVACUATE}d1`, '{}');
-    await pause(SOON);
+    await pause(TAKE_EFFECT_MS);
     const [ran, probes] = [here.ran.length, here.probes];
     expect(await sendMany(ip)).to.deep.equal(Array(20).fill(200));
     await pause(500);
     expect(here.ran.length - ran).to.equal(0);
     expect(here.probes - probes).to.equal(0);
     site.store.remove(`${EVACUATE}d1`);
-    await pause(SOON);
+    await pause(TAKE_EFFECT_MS);
     there.slowdown = 700;
     await sendMany(ip, 10);
     await pause(500);
@@ -52,7 +57,7 @@
     expect(here.ran.length).to.be.greaterThan(ran);
   }).timeout(10_000);
 
-  it('lets what runs there end, and what waits goes elsewhere', async () => {
+  it('completes the requests that run there, and waiting ones go elsewhere', async () => {
     const ip = await site.addGateway();
     await sendMany(ip, 5);
     for (const target of [here, there]) {
@@ -60,9 +65,9 @@
         setTimeout(() => target.answer(request, response), 1500);
     }
     const running = Array.from({ length: 12 }, () => sendTo(ip, { deadline: 6000 }));
-    await waitUntil(() => here.ran.length >= 4, 'the first ones are at their targets');
+    await waitUntil(() => here.ran.length >= 4, 'the first requests are at their targets');
     site.store.put(`${EVACUATE}d1`, '{}');
-    await pause(SOON);
+    await pause(TAKE_EFFECT_MS);
     const ran = here.ran.length;
     const replies = await Promise.all(running);
     for (const { status } of replies) expect(status).to.be.oneOf([200, 503]);
@@ -75,14 +80,14 @@
     const second = await site.addGateway([first], 'homes = 1\nhome_capacity = 0.1');
     await pause(1000);
     site.store.put(`${EVACUATE}d1`, '{}');
-    await pause(SOON);
+    await pause(TAKE_EFFECT_MS);
     const third = await site.addGateway([first], 'homes = 1\nhome_capacity = 0.1');
     const ran = here.ran.length;
     for (const ip of [first, second, third]) await sendMany(ip);
     expect(here.ran.length - ran).to.equal(0);
   }).timeout(15_000);
 
-  it('is known to daemons that start while it lasts, and to all after a loss of all power', async () => {
+  it('is known to daemons that start meanwhile, and to all after a power loss of the whole fleet', async () => {
     site.store.put(`${EVACUATE}d1`, '{}');
     site.isFirstStart = true;
     const ip = await site.addGateway();
@@ -94,12 +99,12 @@
     expect(here.ran).to.have.length(0);
   }).timeout(15_000);
 
-  it('leaves callers a true refusal at once when nothing else is there', async () => {
+  it('makes daemons refuse requests at once when no other domain is left', async () => {
     const ip = await site.addGateway();
     await sendMany(ip, 5);
     site.store.put(`${EVACUATE}d1`, '{}');
     site.store.put(`${EVACUATE}d2`, '{}');
-    await pause(SOON);
+    await pause(TAKE_EFFECT_MS);
     const ran = here.ran.length + there.ran.length;
     const reply = await sendTo(ip);
     expect(reply.status).to.equal(503);
@@ -107,7 +112,7 @@
     expect(here.ran.length + there.ran.length).to.equal(ran);
   }).timeout(10_000);
 
-  it('taken back and asked for again within a second is evacuated', async () => {
+  it('stays evacuated when that is undone and requested again within a second', async () => {
     const ip = await site.addGateway();
     await sendMany(ip, 5);
     site.store.put(`${EVACUATE}d1`, '{}');
@@ -115,27 +120,27 @@
     site.store.remove(`${EVACUATE}d1`);
     await pause(100);
     site.store.put(`${EVACUATE}d1`, 'neither JSON nor anything else');
-    await pause(SOON);
+    await pause(TAKE_EFFECT_MS);
     const ran = here.ran.length;
     await sendMany(ip);
     expect(here.ran.length - ran).to.equal(0);
   }).timeout(10_000);
 
-  it('that nobody knows, or is not named, costs nothing', async () => {
+  it('has no effect on other domains when it is unknown or its name is empty', async () => {
     const ip = await site.addGateway();
     site.store.put(`${EVACUATE}nowhere`, '{}');
     site.store.put(EVACUATE, '{}');
-    await pause(SOON);
+    await pause(TAKE_EFFECT_MS);
     expect(await sendMany(ip)).to.deep.equal(Array(20).fill(200));
-    const told = site.events.filter(({ event }) => event === 'evacuation.unreadable');
-    expect(told.map(({ fields }) => fields.what)).to.deep.equal([EVACUATE]);
+    const reported = site.events.filter(({ event }) => event === 'evacuation.unreadable');
+    expect(reported.map(({ fields }) => fields.what)).to.deep.equal([EVACUATE]);
   }).timeout(10_000);
 
-  it('stays known while the store is away, and its end is heard of afterwards', async () => {
+  it('stays evacuated during an outage of the store, and later changes apply after it', async () => {
     const ip = await site.addGateway();
     await sendMany(ip, 5);
     site.store.put(`${EVACUATE}d1`, '{}');
-    await pause(SOON);
+    await pause(TAKE_EFFECT_MS);
     site.store.fault = { kind: 'busy' };
     await pause(1500);
     const ran = here.ran.length;
@@ -145,9 +150,9 @@
     site.store.put(`${EVACUATE}d2`, '{}');
     site.store.fault = { kind: 'none' };
     await pause(2500);
-    const elsewhere = there.ran.length;
+    const ranThere = there.ran.length;
     await sendMany(ip);
-    expect(there.ran.length - elsewhere).to.equal(0);
+    expect(there.ran.length - ranThere).to.equal(0);
     expect(here.ran.length - ran).to.be.at.least(15);
   }).timeout(15_000);
 });
--- a/test/helpers/listener.ts
+++ b/test/helpers/listener.ts
@@ -1,4 +1,4 @@
-/** A listener to targets that does nothing. */
+/** A target listener that does nothing. */
 import type { TargetListener } from '../../src/gateway/targets/target-events.js';
 
 export const noopListener: TargetListener = {
--- a/test/helpers/targets.ts
+++ b/test/helpers/targets.ts
@@ -1,11 +1,11 @@
-/** Views and sets of targets that tell nobody of their changes. */
+/** Fleet views and target sets that report their changes to no one. */
 import { WindowBudget } from '../../src/balance/index.js';
 import { TargetSet } from '../../src/gateway/targets/target-set.js';
 import { type Clock, createSeededRandom } from '../../src/kernel/index.js';
 import { FleetView } from '../../src/view/index.js';
 import { noopListener } from './listener.js';
 
-/** Creates an empty view. */
+/** Creates an empty fleet view. */
 export function createView(): FleetView {
   return new FleetView({
     onTable: () => undefined,
@@ -15,7 +15,7 @@
   });
 }
 
-/** Creates the targets of the only home, in domain d1. */
+/** Creates the target set of the only home, in failure domain d1. */
 export function createTargets(clock: Clock): TargetSet {
   return new TargetSet({
     ...{ clock, random: createSeededRandom(1), domain: 'd1' },
--- a/test/measuring.test.ts
+++ b/test/measuring.test.ts
@@ -1,4 +1,7 @@
-/** What measuring costs: one agreed number for the whole fleet, whoever takes itself for a home. */
+/**
+ * The cost of probing and of load reports. The whole fleet keeps to one agreed number of probes,
+ * whichever daemons take themselves for homes.
+ */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { computeProbeInterval } from '../src/balance/index.js';
@@ -13,7 +16,7 @@
 const HOMES = 3;
 
 describe('the agreed number of probes', () => {
-  it('holds however the fleet is split, though every daemon serves', () => {
+  it('is not exceeded however the fleet is partitioned, even if every daemon is serving', () => {
     const anyGroups = fc.array(fc.integer({ min: 1, max: 40 }), { minLength: 1, maxLength: 30 });
     fc.assert(
       fc.property(anyGroups, fc.integer({ min: 1, max: 500 }), (groups, limit) => {
@@ -29,26 +32,27 @@
       }),
     );
   });
-  // Probes from afar were nearly all the bytes between failure domains, which are paid for.
-  it('is spent by the home in the failure domain of the target, where there is one', () => {
+  // Guards against probes across failure domains: traffic between them is paid for, and nearly all
+  // of it was such probes.
+  it('is used by homes in the failure domain of the target, if there are any', () => {
     const homes = [
       { ip: 'a', domain: 'd1' },
       { ip: 'b', domain: 'd2' },
       { ip: 'c', domain: 'd2' },
     ];
-    const find = (domain: string, hash: number) =>
+    const findHome = (domain: string, hash: number) =>
       chooseProbingHome({ hash, record: { domain } as TargetRecord }, homes);
-    const probers = (domain: string) =>
-      new Set(Array.from({ length: 60 }, (_, hash) => find(domain, hash)));
-    expect([...probers('d1')]).to.deep.equal(['a']);
-    expect([...probers('d2')]).to.have.members(['b', 'c']);
-    expect([...probers('d3')]).to.have.members(['a', 'b', 'c']);
+    const findHomes = (domain: string) =>
+      new Set(Array.from({ length: 60 }, (_, hash) => findHome(domain, hash)));
+    expect([...findHomes('d1')]).to.deep.equal(['a']);
+    expect([...findHomes('d2')]).to.have.members(['b', 'c']);
+    expect([...findHomes('d3')]).to.have.members(['a', 'b', 'c']);
   });
-  it('leaves most of it to the homes of a whole fleet', () => {
+  it('is mostly available to the homes when the fleet is not partitioned', () => {
     const terms = { limit: 60, members: 17, present: 17, isHome: true };
     expect(computeProbeInterval(terms)).to.be.below(25);
   });
-  it('is kept by daemons that are no homes and serve all the same', async () => {
+  it('is not exceeded by serving daemons that are not homes', async () => {
     const site = await new Site().start([{ prefix: '/a/' }]);
     site.probesPerSecond = 10;
     const target = await site.addTarget();
@@ -56,22 +60,22 @@
     await first.gateway.start();
     const ips = [first.ip];
     for (let count = 0; count < 5; count += 1) ips.push(await site.addGateway([first.ip]));
-    const wait = (time: number) =>
+    const sleep = (time: number) =>
       new Promise((resolve) => {
         setTimeout(resolve, time);
       });
     let isOver = false;
-    // Calls so rare that their answers do not make probes needless.
+    // Calls are so rare that their responses don't make probes unnecessary.
     const callers = ips.map(async (ip) => {
       while (!isOver) {
         await sendTo(ip);
-        await wait(400);
+        await sleep(400);
       }
     });
-    // Everybody has found everybody by then.
-    await wait(2000);
+    // By then all daemons know each other.
+    await sleep(2000);
     const before = target.probes;
-    await wait(3000);
+    await sleep(3000);
     const sent = target.probes - before;
     isOver = true;
     await Promise.all(callers);
@@ -80,17 +84,17 @@
   });
 });
 
-describe('daemons that are no homes and serve', () => {
+describe('serving daemons that are not homes', () => {
   const HOUR = 3_600_000;
   let clock: ManualClock;
-  let heard: {
+  let sent: {
     readonly from: string;
     readonly to: string;
-    readonly shares: readonly TargetLoadReport[];
+    readonly reports: readonly TargetLoadReport[];
   }[];
-  let ends: AbortController;
+  let controller: AbortController;
 
-  /** Makes the sharing of one daemon; what it sends reaches the others at once. */
+  /** Creates the load exchange of one daemon; what it sends reaches the others at once. */
   function createDaemon(
     self: string,
     daemons: Map<string, LoadExchange>,
@@ -105,29 +109,29 @@
     view.putTarget(record, 1, 0);
     const targets = createTargets(clock);
     targets.update(view);
-    const sharing = new LoadExchange({
+    const exchange = new LoadExchange({
       ...{ clock, targets, self, isServing, listHomes: () => homes },
-      send: (to, shares) => {
-        heard.push({ from: self, to, shares });
-        daemons.get(to)?.receive(self, shares);
+      send: (to, reports) => {
+        sent.push({ from: self, to, reports });
+        daemons.get(to)?.receive(self, reports);
       },
       sendDraining: () => undefined,
     });
-    daemons.set(self, sharing);
-    sharing.run(ends.signal).catch(() => undefined);
+    daemons.set(self, exchange);
+    exchange.run(controller.signal).catch(() => undefined);
     const target = targets.getService('alpha').targets.get('i-1');
-    if (target === undefined) throw new Error('the target is not there');
+    if (target === undefined) throw new Error('expected the target to be listed');
     return target.load;
   }
 
   beforeEach(() => {
     clock = new ManualClock();
-    heard = [];
-    ends = new AbortController();
+    sent = [];
+    controller = new AbortController();
   });
-  afterEach(() => ends.abort());
+  afterEach(() => controller.abort());
 
-  it('tell the home of their calls, and hear of its', async () => {
+  it('report their calls to the home, and receive its reports', async () => {
     const daemons = new Map<string, LoadExchange>();
     const atHome = createDaemon('home', daemons, () => true);
     const atOther = createDaemon('other', daemons, () => true);
@@ -138,8 +142,9 @@
     expect(atHome.countCalls(1000, 1)).to.equal(3);
     expect(atOther.countCalls(1000, 1)).to.equal(3);
   });
-  // Repeats of targets without calls were most of what homes told each other on a large fleet.
-  it('repeat nothing of a target without calls, and that they have none holds all the same', async () => {
+  // Guards against needless traffic: in a large fleet most load reports between homes were repeats
+  // for targets without calls.
+  it('get no repeated reports of a target without calls, which is known to have none', async () => {
     const daemons = new Map<string, LoadExchange>();
     const homes = ['home', 'second'];
     const atHome = createDaemon('home', daemons, () => true, homes);
@@ -149,37 +154,38 @@
     expect(atSecond.countCalls(1000, 2, daemons.get('second')?.countReportingHomes())).to.equal(1);
     atHome.finish();
     await clock.advance(100);
-    heard.length = 0;
+    sent.length = 0;
     await clock.advance(5000);
-    expect(heard.flatMap(({ shares }) => shares)).to.deep.equal([]);
-    expect(heard.filter(({ from }) => from === 'home')).to.have.length.within(8, 11);
+    expect(sent.flatMap(({ reports }) => reports)).to.deep.equal([]);
+    expect(sent.filter(({ from }) => from === 'home')).to.have.length.within(8, 11);
     atSecond.start(6100);
     expect(atSecond.countCalls(6100, 2, daemons.get('second')?.countReportingHomes())).to.equal(1);
-    // Without the word of the other home its calls are taken to be as many as the own ones.
+    // Without reports from the other home, it is assumed to have as many calls there as this one.
     expect(atSecond.countCalls(6100, 2)).to.equal(2);
   });
-  // Found on the users' bench: at 20 ms their words filled the homes' cores under overload.
-  it('tell ten times a second at most, however their calls change', async () => {
+  // Guards against overload of the homes: at an interval of 20 ms these reports used up their
+  // processor time.
+  it('send at most ten reports a second, however often their calls change', async () => {
     const daemons = new Map<string, LoadExchange>();
     createDaemon('home', daemons, () => true);
     const atOther = createDaemon('other', daemons, () => true);
-    for (let turn = 0; turn < 50; turn += 1) {
-      atOther.start(turn * 20);
+    for (let step = 0; step < 50; step += 1) {
+      atOther.start(step * 20);
       await clock.advance(20);
     }
-    expect(heard.filter(({ from }) => from === 'other')).to.have.length.within(5, 10);
+    expect(sent.filter(({ from }) => from === 'other')).to.have.length.within(5, 10);
   });
-  it('are forgotten once they serve no more', async () => {
+  it('get no more reports once they stop serving', async () => {
     const daemons = new Map<string, LoadExchange>();
     createDaemon('home', daemons, () => true);
     let isServing = true;
     createDaemon('other', daemons, () => isServing);
     await clock.advance(1000);
-    expect(heard.some(({ to }) => to === 'other')).to.equal(true);
+    expect(sent.some(({ to }) => to === 'other')).to.equal(true);
     isServing = false;
     await clock.advance(2000);
-    heard = [];
+    sent = [];
     await clock.advance(HOUR / 1000);
-    expect(heard).to.deep.equal([]);
+    expect(sent).to.deep.equal([]);
   });
 });
--- a/test/rate-limit.test.ts
+++ b/test/rate-limit.test.ts
@@ -1,9 +1,12 @@
 /**
- * Pattern: targets in need name the rate of requests that they take from all daemons together, for as long as they do.
- * Seen on the users' platform: two targets named 4.6 and 2.9 a second, and got 35 requests each in four seconds, as many
- * as before. Daemons passed the word on to callers and spread calls as if it had not come: nothing bounded what a
- * target gets but its slots, and what it says of itself in an answer was read for its load only. That the word is what
- * is missing was proved by a line for each that is heard: it is heard with the first answers, and calls go on.
+ * Targets that are short of capacity advertise the rate of requests that they accept from all
+ * daemons together, for as long as this lasts.
+ *
+ * Guards against ignoring that rate: two targets advertised 4.6 and 2.9 requests a second and got
+ * 35 each in four seconds, as many as before. Daemons relayed the rate to callers, but of a
+ * target's response they used only the load, and nothing but its slots limited what it was sent.
+ * The rates were received with the first responses, as a log line for each shows, and calls went
+ * on.
  */
 import { expect } from 'chai';
 import { pause } from '../src/demo/index.js';
@@ -12,61 +15,64 @@
 
 const RULES = [{ prefix: '/a/', attempts: 3 }] as const;
 
-const SECOND = 1000;
+const SECOND_MS = 1000;
 
-/** The users' bound: in any such time a target gets half more than its rate allows, and some requests besides. */
-const SPAN = 4 * SECOND;
+/**
+ * The bound: within any such time span a target gets at most 1.5 times what its rate allows, and a
+ * few requests besides.
+ */
+const SPAN_MS = 4 * SECOND_MS;
 const OVERSHOOT = 1.5;
 const SLACK = 5;
 
-/** From this long after the word a daemon is taken to have heard it, in milliseconds. */
-const HEARD = 600;
+/** Time after which every daemon is expected to know an advertised rate, in milliseconds. */
+const PROPAGATION_MS = 600;
 
-function computeMost(rate: number): number {
-  return Math.floor(OVERSHOOT * rate * (SPAN / SECOND) + SLACK);
+function computeMaxArrivals(rate: number): number {
+  return Math.floor(OVERSHOOT * rate * (SPAN_MS / SECOND_MS) + SLACK);
 }
 
-/** How a stand-in target works, in milliseconds a request. */
-const WORK = 10;
+/** Time that a target takes for a request, in milliseconds. */
+const WORK_MS = 10;
 
-/** Lets a target take its time, and notes when each request comes. */
-function watchArrivals(target: SiteTarget): readonly number[] {
+/** Makes a target take some time for each request, and records when each arrives. */
+function recordArrivals(target: SiteTarget): readonly number[] {
   const arrivals: number[] = [];
   target.behaviour = (request, response) => {
     arrivals.push(performance.now());
-    setTimeout(() => target.answer(request, response), WORK);
+    setTimeout(() => target.answer(request, response), WORK_MS);
   };
   return arrivals;
 }
 
-/** Counts the most arrivals in any span, from a moment on. */
-function countBusiest(arrivals: readonly number[], since: number): number {
+/** Returns the largest number of arrivals within any such span, from a point in time on. */
+function countMaxArrivals(arrivals: readonly number[], since: number): number {
   const times = arrivals.filter((at) => at >= since);
   return Math.max(
     0,
-    ...times.map((from) => times.filter((at) => at >= from && at < from + SPAN).length),
+    ...times.map((from) => times.filter((at) => at >= from && at < from + SPAN_MS).length),
   );
 }
 
-/** Sends requests to each daemon, some at a time, for a while. */
+/** Sends requests to each daemon for a while, two concurrently, and returns the replies. */
 async function sendFor(
   ips: readonly string[],
   time: number,
-  { rest = 15 } = {},
+  { pauseTime = 15 } = {},
 ): Promise<readonly CallerReply[]> {
   const until = performance.now() + time;
   const replies: CallerReply[] = [];
-  const sendOn = async (ip: string) => {
+  const sendRepeatedly = async (ip: string) => {
     while (performance.now() < until) {
       replies.push(await sendTo(ip));
-      await pause(rest);
+      await pause(pauseTime);
     }
   };
-  await Promise.all(ips.flatMap((ip) => [sendOn(ip), sendOn(ip)]));
+  await Promise.all(ips.flatMap((ip) => [sendRepeatedly(ip), sendRepeatedly(ip)]));
   return replies;
 }
 
-describe('a target that names the rate it takes', () => {
+describe('a target that advertises a rate', () => {
   let site: Site;
   let target: SiteTarget;
   let arrivals: readonly number[];
@@ -77,12 +83,12 @@
     const others: string[] = [];
     for (let index = 1; index < count; index += 1) others.push(await site.addGateway([first]));
     ips = [first, ...others];
-    // A daemon knows who looks to whom a while after its start.
+    // Some time after its start a daemon knows which daemons report to it.
     await pause(1800);
   };
 
-  /** Sums up what each daemon last said that falls to it of the target's rate. */
-  const readParts = () => {
+  /** Adds up the parts of the target's rate that the daemons last logged. */
+  const sumLoggedRates = () => {
     const parts = new Map<string, number>();
     for (const { ip, event, fields } of site.events) {
       if (event === 'target.limited') parts.set(ip, Number(fields.own));
@@ -93,118 +99,118 @@
   beforeEach(async () => {
     site = await new Site().start(RULES);
     target = await site.addTarget();
-    arrivals = watchArrivals(target);
+    arrivals = recordArrivals(target);
   });
   afterEach(() => site.stop());
 
-  describe('beside others', () => {
+  describe('among other targets', () => {
     let others: SiteTarget[];
     beforeEach(async () => {
       others = [await site.addTarget(), await site.addTarget()];
-      for (const other of others) watchArrivals(other);
+      for (const other of others) recordArrivals(other);
       await startDaemons(3);
     });
 
     for (const rate of [0.5, 3.9, 10]) {
-      it(`gets ${rate} a second from all daemons together`, async () => {
+      it(`gets ${rate} requests a second from all daemons together`, async () => {
         target.rate = String(rate);
-        // Nothing but its rate keeps calls from going to it.
+        // Without its rate limit it would get most calls.
         for (const other of others) other.slowdown = 700;
-        await sendFor(ips, SECOND);
+        await sendFor(ips, SECOND_MS);
         const since = performance.now();
-        const replies = await sendFor(ips, SPAN + 2 * SECOND);
-        expect(countBusiest(arrivals, since)).to.be.at.most(computeMost(rate));
+        const replies = await sendFor(ips, SPAN_MS + 2 * SECOND_MS);
+        expect(countMaxArrivals(arrivals, since)).to.be.at.most(computeMaxArrivals(rate));
         const got = arrivals.filter((at) => at >= since).length;
         expect(got, 'requests in six seconds').to.be.within(0.5 * rate * 6 - 1, rate * 6 + 3);
         expect(replies.every(({ status }) => status === 200)).to.equal(true);
-        expect(readParts(), 'sum of what falls to each').to.be.closeTo(rate, 0.05);
+        expect(sumLoggedRates(), 'sum of the parts of all daemons').to.be.closeTo(rate, 0.05);
       }).timeout(20_000);
     }
 
-    it('gets no more by repeats of what the others reject', async () => {
+    it('gets no more through retries of requests that other targets rejected', async () => {
       for (const other of others) {
         other.behaviour = (_request, response) => {
           response.writeHead(503, { 'Not-Executed': '1' }).end();
         };
       }
       target.rate = '4';
-      await sendFor(ips, SECOND);
+      await sendFor(ips, SECOND_MS);
       const since = performance.now();
-      const replies = await sendFor(ips, SPAN + SECOND);
-      expect(countBusiest(arrivals, since)).to.be.within(2, computeMost(4));
-      // Nobody who can't be served is held until his time is over.
+      const replies = await sendFor(ips, SPAN_MS + SECOND_MS);
+      expect(countMaxArrivals(arrivals, since)).to.be.within(2, computeMaxArrivals(4));
+      // Requests that can't be served are not held until their deadline.
       const refused = replies.filter(({ status }) => status === 503);
       const quick = refused.filter(({ took }) => took < 300).length;
       expect(quick / refused.length).to.be.greaterThan(0.9);
     }).timeout(20_000);
 
-    it('is not waited for by repeats until their time is over', async () => {
+    it('does not make retries wait until their deadline', async () => {
       for (const other of others) {
         other.behaviour = (_request, response) => {
           response.writeHead(503, { 'Not-Executed': '1' }).end();
         };
       }
       target.rate = '0';
-      await sendFor(ips, SECOND);
-      const replies = await sendFor(ips, SPAN + SECOND, { rest: 400 });
+      await sendFor(ips, SECOND_MS);
+      const replies = await sendFor(ips, SPAN_MS + SECOND_MS, { pauseTime: 400 });
       const longest = Math.max(...replies.map(({ took }) => took));
-      expect(longest).to.be.lessThan(SECOND);
+      expect(longest).to.be.lessThan(SECOND_MS);
       for (const { status } of replies) expect(status).to.be.oneOf([200, 503]);
     }).timeout(20_000);
 
-    it('gets no more by second attempts beside slow ones', async () => {
+    it('gets no more through hedged attempts when the others are slow', async () => {
       for (const other of others) {
         other.behaviour = (request, response) => {
           setTimeout(() => other.answer(request, response), 600);
         };
       }
       target.rate = '2';
-      await sendFor(ips, SECOND);
+      await sendFor(ips, SECOND_MS);
       const since = performance.now();
-      await sendFor(ips, SPAN + SECOND);
-      expect(countBusiest(arrivals, since)).to.be.within(2, computeMost(2));
+      await sendFor(ips, SPAN_MS + SECOND_MS);
+      expect(countMaxArrivals(arrivals, since)).to.be.within(2, computeMaxArrivals(2));
     }).timeout(20_000);
 
     it('gets no more from a daemon that has just started', async () => {
       target.rate = '3';
-      await sendFor(ips, SECOND);
+      await sendFor(ips, SECOND_MS);
       const started = await site.addGateway([ips[0]]);
-      const sending = sendFor([started], SPAN + SECOND);
-      await sendFor(ips, HEARD);
+      const sending = sendFor([started], SPAN_MS + SECOND_MS);
+      await sendFor(ips, PROPAGATION_MS);
       const since = performance.now();
       await sending;
-      expect(countBusiest(arrivals, since)).to.be.at.most(computeMost(3));
+      expect(countMaxArrivals(arrivals, since)).to.be.at.most(computeMaxArrivals(3));
     }).timeout(20_000);
 
-    it('gets its share again within two seconds once it names none, and not all at once', async () => {
+    it('gets its share again gradually, within two seconds after it advertises no rate any more', async () => {
       target.rate = '2';
-      await sendFor(ips, 2 * SECOND);
+      await sendFor(ips, 2 * SECOND_MS);
       const limited = arrivals.length;
-      await sendFor(ips, SECOND);
+      await sendFor(ips, SECOND_MS);
       expect(arrivals.length - limited, 'while it is limited').to.be.at.most(5);
       target.rate = undefined;
       const until = performance.now();
-      await sendFor(ips, 4 * SECOND);
+      await sendFor(ips, 4 * SECOND_MS);
       const count = (from: number, to: number) =>
         arrivals.filter((at) => at >= until + from && at < until + to).length;
-      // A third of what is sent, as before.
-      const whole = count(3 * SECOND, 4 * SECOND);
+      // A third of all requests, as before.
+      const whole = count(3 * SECOND_MS, 4 * SECOND_MS);
       expect(whole).to.be.greaterThan(40);
-      const heardAt = (arrivals.find((at) => at >= until) ?? Infinity) - until;
-      expect(count(heardAt, heardAt + 300)).to.be.lessThan((0.3 * whole) / 2);
+      const noticedAt = (arrivals.find((at) => at >= until) ?? Infinity) - until;
+      expect(count(noticedAt, noticedAt + 300)).to.be.lessThan((0.3 * whole) / 2);
     }).timeout(20_000);
   });
 
   describe('and is the only one', () => {
     beforeEach(() => startDaemons(2));
 
-    it('gets what it takes, and other callers are told so at once', async () => {
+    it('gets requests up to its limit, and others are refused at once', async () => {
       target.rate = '5';
-      await sendFor(ips, SECOND);
+      await sendFor(ips, SECOND_MS);
       const since = performance.now();
-      const replies = await sendFor(ips, SPAN + SECOND);
+      const replies = await sendFor(ips, SPAN_MS + SECOND_MS);
       const got = arrivals.filter((at) => at >= since).length;
-      expect(countBusiest(arrivals, since)).to.be.at.most(computeMost(5));
+      expect(countMaxArrivals(arrivals, since)).to.be.at.most(computeMaxArrivals(5));
       expect(got).to.be.within(10, 5 * 5 + 3);
       const served = replies.filter(({ status }) => status === 200).length;
       expect(served).to.be.within(got - 2, got);
@@ -219,43 +225,43 @@
       expect(quick / refused.length).to.be.greaterThan(0.9);
     }).timeout(20_000);
 
-    it('gets no more while it fails most of what it gets and names no rate in failures', async () => {
+    it('gets no more while most of its responses are failures without a rate', async () => {
       let count = 0;
-      const named: number[] = [];
+      const arrivalTimes: number[] = [];
       target.behaviour = (request, response) => {
-        named.push(performance.now());
+        arrivalTimes.push(performance.now());
         count += 1;
         if (count % 10 === 0) target.answer(request, response);
         else response.writeHead(500, { 'Attempt-Id': request.headers['attempt-id'] }).end();
       };
       target.rate = '2';
-      await sendFor(ips, SECOND);
+      await sendFor(ips, SECOND_MS);
       const since = performance.now();
-      await sendFor(ips, 2 * SPAN);
-      expect(countBusiest(named, since)).to.be.at.most(computeMost(2));
+      await sendFor(ips, 2 * SPAN_MS);
+      expect(countMaxArrivals(arrivalTimes, since)).to.be.at.most(computeMaxArrivals(2));
     }).timeout(20_000);
 
-    it('of nothing is still asked now and then, so that its end is heard', async () => {
+    it('with a rate of 0 gets a request now and then, so that the end of the limit is noticed', async () => {
       target.rate = '0';
-      await sendFor(ips, SECOND);
+      await sendFor(ips, SECOND_MS);
       const since = performance.now();
-      await sendFor(ips, SPAN);
-      expect(countBusiest(arrivals, since)).to.be.at.most(computeMost(0));
+      await sendFor(ips, SPAN_MS);
+      expect(countMaxArrivals(arrivals, since)).to.be.at.most(computeMaxArrivals(0));
       target.rate = undefined;
-      await sendFor(ips, 3 * SPAN);
+      await sendFor(ips, 3 * SPAN_MS);
       expect((await sendTo(ips[0])).status).to.equal(200);
     }).timeout(30_000);
   });
 
-  describe('in words that are none', () => {
+  describe('that is not a valid number', () => {
     beforeEach(() => startDaemons(1));
 
-    const words = ['-1', 'NaN', 'Infinity', '0x10', '1e3', '', 'many', ['3', '4']];
-    for (const word of words) {
-      it(`takes any number: ${JSON.stringify(word)}`, async () => {
-        target.rate = word;
+    const values = ['-1', 'NaN', 'Infinity', '0x10', '1e3', '', 'many', ['3', '4']];
+    for (const value of values) {
+      it(`gets any number of requests: ${JSON.stringify(value)}`, async () => {
+        target.rate = value;
         const before = arrivals.length;
-        const replies = await sendFor(ips, SECOND);
+        const replies = await sendFor(ips, SECOND_MS);
         expect(arrivals.length - before).to.be.greaterThan(20);
         expect(replies.every(({ status }) => status === 200)).to.equal(true);
         expect(site.events.some(({ event }) => event === 'rate.unreadable')).to.equal(true);
