--- a/src/gateway/fleet/knowledge-exchange.ts
+++ b/src/gateway/fleet/knowledge-exchange.ts
@@ -1,4 +1,7 @@
-/** What this daemon answers when another one asks what it knows, and what it takes from the answers of others. */
+/**
+ * Gossip between daemons: what this daemon answers when another one asks for its state, and how it
+ * applies the state of others.
+ */
 import type { Clock } from '../../kernel/index.js';
 import type {
   PoisonReport,
@@ -11,16 +14,16 @@
 } from '../../peering/index.js';
 import type { FleetView, StoreReader } from '../../view/index.js';
 
-/** What the exchange is made from. */
+/** Options of the exchange. */
 export interface KnowledgeExchangeOptions {
   readonly clock: Clock;
   readonly self: string;
   readonly view: FleetView;
   readonly roster: Roster;
   readonly reader: Pick<StoreReader, 'lastReadAt'>;
-  readonly duty: ReaderRole;
+  readonly readerRole: ReaderRole;
   readonly feed: FeedClient;
-  /** Requests under which targets ended, as far as others are to know of them. */
+  /** Lists the suspected poison requests to announce to other daemons. */
   readonly listPoisonReports: () => readonly PoisonReport[];
 }
 
@@ -28,29 +31,29 @@
 export class KnowledgeExchange {
   constructor(private readonly options: KnowledgeExchangeOptions) {}
 
-  /** What this daemon knows now. */
+  /** Returns what this daemon knows now. */
   read(): Knowledge {
-    const { clock, view, roster, listPoisonReports: listCases } = this.options;
+    const { clock, view, roster, listPoisonReports } = this.options;
     return {
       position: view.position,
       proofAge: clock.now() - view.provenAt,
-      lastRead: this.#findReading(),
+      lastRead: this.#findLastRead(),
       known: view.known,
       membersFingerprint: roster.readFingerprint(),
       desiredHomes: roster.desiredHomes,
       presences: roster.listPresences(),
-      poisonReports: listCases(),
+      poisonReports: listPoisonReports(),
     };
   }
 
-  /** Takes what another daemon knows, and fetches it when it is more. */
+  /** Applies what another daemon knows, and fetches from it whatever is newer there. */
   async receive(from: MemberInfo, knowledge: Knowledge): Promise<void> {
-    const { clock, self, view, roster, duty, feed } = this.options;
-    duty.recordAnswer();
-    if (this.#isPlanFrom(from.ip)) roster.setDesiredHomes(knowledge.desiredHomes);
+    const { clock, self, view, roster, readerRole, feed } = this.options;
+    readerRole.recordAnswer();
+    if (this.#isPlanSource(from.ip)) roster.setDesiredHomes(knowledge.desiredHomes);
     const now = clock.now();
     const provenAt = now - knowledge.proofAge;
-    const { lastRead: reading } = knowledge;
+    const { lastRead } = knowledge;
     const { position } = view;
     const members = roster.readFingerprint();
     const isBehind =
@@ -65,23 +68,27 @@
       view.recordProof(provenAt);
       view.advanceKnown(knowledge.known);
     }
-    // The echo of an own reading shows nothing.
-    if (reading === undefined || reading.reader === self) return;
-    duty.recordRemoteRead(reading.reader, now - reading.age);
+    // This daemon's own read of the store, reported back to it, proves nothing.
+    if (lastRead === undefined || lastRead.reader === self) return;
+    readerRole.recordRemoteRead(lastRead.reader, now - lastRead.age);
   }
 
-  /** The last reading of the store by a daemon itself, be it this one or another. */
-  #findReading(): StoreRead | undefined {
-    const { clock, self, reader, duty } = this.options;
-    const { lastRemoteRead: told } = duty;
+  /** Returns the latest read of the store, by this daemon or another one. */
+  #findLastRead(): StoreRead | undefined {
+    const { clock, self, reader, readerRole } = this.options;
+    const { lastRemoteRead } = readerRole;
     const now = clock.now();
-    const { lastReadAt: readAt } = reader;
-    if (told !== undefined && told.at > readAt) return { reader: told.reader, age: now - told.at };
-    return readAt === -Infinity ? undefined : { reader: self, age: now - readAt };
+    const { lastReadAt } = reader;
+    if (lastRemoteRead !== undefined && lastRemoteRead.at > lastReadAt)
+      return { reader: lastRemoteRead.reader, age: now - lastRemoteRead.at };
+    return lastReadAt === -Infinity ? undefined : { reader: self, age: now - lastReadAt };
   }
 
-  /** Homes and their successors take the plan of homes from the first home, the others from any home. */
-  #isPlanFrom(ip: string): boolean {
+  /**
+   * Whether the number of homes is taken from the daemon with this IP address. Homes and their
+   * successors take it from the first home, other daemons from any home.
+   */
+  #isPlanSource(ip: string): boolean {
     const { roster } = this.options;
     const homes = roster.listHomes();
     if (roster.isNearHomes()) return homes[0]?.ip === ip;
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -309,7 +309,7 @@
         reader: this.#storeReader,
       },
       ...{
-        duty: this.#readerRole,
+        readerRole: this.#readerRole,
         feed: this.#feedClient,
         listPoisonReports: () => this.#poisonRegistry.listReports(),
       },
--- a/src/gateway/requests/forwarding.ts
+++ b/src/gateway/requests/forwarding.ts
@@ -451,7 +451,7 @@
     const { service } = this.request;
     const now = clock.now();
     const { load, record, slowdownHistory } = attempt.target;
-    const pattern = service.readPattern();
+    const pattern = service.readSlowdownParameters();
     const slowdown = slowdownHistory.estimate(attempt.startedAt, pattern);
     const time = now - attempt.startedAt;
     const expectedWork = routeTime.readWork();
@@ -519,7 +519,7 @@
     if (this.#attemptCount >= route.maxAttempts || this.#suspectConstraints !== undefined) return;
     const now = clock.now();
     const { slowdownHistory } = attempt.target;
-    const pattern = service.readPattern();
+    const pattern = service.readSlowdownParameters();
     const work = routeTime.readWork();
     const first: FirstAttempt = {
       ...{ work, elapsed: now - attempt.startedAt },
--- a/src/gateway/targets/slot-queue.ts
+++ b/src/gateway/targets/slot-queue.ts
@@ -1,4 +1,4 @@
-/** Calls of one service that wait in this daemon for a target. */
+/** The queue of calls of one service that wait in this daemon for a free slot at a target. */
 import {
   type Admission,
   type QueuedCall,
@@ -8,50 +8,62 @@
 import type { Clock, Random, Timer } from '../../kernel/index.js';
 import type { GatewayTarget } from './target.js';
 
-/** What a call asks of its place. */
+/** The constraints of a call on the choice of its target. */
 export interface PlacementRequest {
   /** Targets that it has been sent to already. */
   readonly tried: ReadonlySet<GatewayTarget>;
-  /** How long the call takes at a usual, idle target, in milliseconds. */
+  /** How long the call takes at a typical idle target, in milliseconds. */
   readonly work: number;
-  /** Length of its body, as far as it is known. */
+  /** Length of its body in bytes, as far as known. */
   readonly bodyBytes: number;
-  /** The regions in which it may run; undefined where it may run anywhere. */
+  /** The regions in which it may run; undefined when it may run anywhere. */
   readonly regions?: readonly string[];
-  /** How carefully it has to be placed, because a target has ended under it; undefined when none has. */
+  /** Further constraints on a suspected poison request; undefined for other calls. */
   readonly suspect?: SuspectConstraints;
 }
 
-/** What a suspect asks of its place. */
+/** Constraints on a suspected poison request: a call whose target has ended while running it. */
 export interface SuspectConstraints {
   /** Releases of targets that it is not sent to. */
   readonly avoidedReleases: readonly string[];
 }
 
-/** A call that asks for a target. */
+/** A call that asks the queue for a target. */
 export interface SlotCall extends PlacementRequest, QueuedCall {}
 
-/** What came of asking. */
+/** The outcome of a request for a target. */
 export type PlacementResult =
-  /** The call is counted there already; whoever does not send it gives the slot back. */
+  /**
+   * The call is already counted at the target. If it is not sent after all, the slot has to be
+   * given back.
+   */
   | { readonly kind: 'target'; readonly target: GatewayTarget }
-  /** `wait` is the time after which the caller may return, in milliseconds. */
+  /** `wait` is the time after which the caller may retry, in milliseconds. */
   | { readonly kind: 'refused'; readonly reason: PlacementRefusal; readonly wait: number };
 
-/** Why no target is found: none is there, none has a slot in time, or those that have one take no more for now. */
+/**
+ * Why a call gets no target: none is usable, none has a free slot in time, or those with free slots
+ * accept no more calls for now.
+ */
 export type PlacementRefusal = 'no-target' | 'no-room' | LimitReason;
 
-/** What a queue asks for each call in turn. */
+/**
+ * Chooses a target for a call of the queue, or advises it to wait. `callsAhead` is the number of
+ * calls that go first.
+ */
 export type TargetChooser = (
   call: SlotCall,
-  ahead: number,
+  callsAhead: number,
 ) =>
   | {
       readonly kind: 'now';
       readonly candidate: GatewayTarget;
       readonly load: { readonly slowdown: number };
     }
-  /** `pace` lies between two starts here, `slowdown` is that of the targets on the whole. */
+  /**
+   * `pace` is the time between two starts in this daemon, as a multiple of a call's work;
+   * `slowdown` is the mean of all targets.
+   */
   | {
       readonly kind: 'wait';
       readonly pace: number;
@@ -61,122 +73,130 @@
     }
   | { readonly kind: 'none'; readonly wait?: number };
 
-/** Reports and ends of calls wake the queue; this is for time that passes without any. */
-const PUMP_PACE = 10;
+/**
+ * How often waiting calls are reconsidered. Reports and ends of calls do so as well; this covers
+ * the passing of time.
+ */
+const PUMP_INTERVAL_MS = 10;
 
-/** When a caller may return that found no target: lists of targets change within a part of a second. */
-const NO_TARGET_RETURN = 250;
+/**
+ * Retry delay for a caller when there is no target: the list of targets changes within a fraction
+ * of a second.
+ */
+const NO_TARGET_WAIT_MS = 250;
 
-/** The queue of one service. */
+/** The queue of one service in this daemon. */
 export class SlotQueue {
-  readonly #line: WaitQueue<SlotCall>;
+  readonly #waiting: WaitQueue<SlotCall>;
 
-  readonly #resolvers = new Map<SlotCall, (answer: PlacementResult) => void>();
+  readonly #resolvers = new Map<SlotCall, (result: PlacementResult) => void>();
 
   #timer: Timer | undefined;
 
-  /** What calls wait for besides slots. */
-  #limit: LimitReason | undefined;
+  /** What calls wait for besides a free slot. */
+  #limitReason: LimitReason | undefined;
 
-  /** When a call last had to wait. */
+  /** When a call last had to wait, in milliseconds on this daemon's clock. */
   lastWaitAt = -Infinity;
 
   constructor(
     private readonly clock: Clock,
     random: Random,
-    private readonly adviser: TargetChooser,
+    private readonly chooseTarget: TargetChooser,
   ) {
-    this.#line = new WaitQueue(clock, random);
+    this.#waiting = new WaitQueue(clock, random);
   }
 
-  /** Calls that wait. */
+  /** Number of waiting calls. */
   get size(): number {
-    return this.#line.size;
+    return this.#waiting.size;
   }
 
-  /** Gives a target at once, or makes the call wait, or refuses it. */
+  /** Returns a target at once, lets the call wait for one, or refuses it. */
   take(call: SlotCall): PlacementResult | Promise<PlacementResult> {
-    this.#line.recordArrival(call);
-    const ahead = this.#line.countAhead(call);
-    const advice = this.adviser(call, ahead);
-    switch (advice.kind) {
+    this.#waiting.recordArrival(call);
+    const callsAhead = this.#waiting.countAhead(call);
+    const choice = this.chooseTarget(call, callsAhead);
+    switch (choice.kind) {
       case 'none':
-        return this.#refuseNone(advice.wait);
+        return this.#refuseWithoutTarget(choice.wait);
       case 'now':
-        return ahead === 0 ? this.#start(call, advice) : this.#wait(call, true);
+        return callsAhead === 0 ? this.#start(call, choice) : this.#wait(call, true);
       case 'wait': {
-        this.#noteWait(call, advice);
-        const admission = this.#line.judge(call);
-        return this.#follow(call, admission) ?? this.#wait(call, admission.kind === 'in-time');
+        this.#updatePace(call, choice);
+        const admission = this.#waiting.judge(call);
+        return this.#tryRefuse(call, admission) ?? this.#wait(call, admission.kind === 'in-time');
       }
       default:
-        return advice satisfies never;
+        return choice satisfies never;
     }
   }
 
-  /** Takes back a call that waits: its caller left, or its time is over. */
+  /** Removes a waiting call, because its caller left or its deadline passed. */
   remove(call: SlotCall): void {
-    this.#line.remove(call);
+    this.#waiting.remove(call);
     this.#resolvers.delete(call);
   }
 
-  /** Serves those that wait, as far as there is room. */
+  /** Starts waiting calls while targets have free slots. */
   pump(): void {
     if (this.size === 0) return;
-    for (const call of this.#line.list()) {
-      const advice = this.adviser(call, 0);
-      if (advice.kind === 'wait') {
-        this.#noteWait(call, advice);
+    for (const call of this.#waiting.list()) {
+      const choice = this.chooseTarget(call, 0);
+      if (choice.kind === 'wait') {
+        this.#updatePace(call, choice);
         break;
       }
-      if (advice.kind === 'now') this.#answer(call, this.#start(call, advice));
-      else this.#answer(call, this.#refuseNone(advice.wait));
+      if (choice.kind === 'now') this.#resolve(call, this.#start(call, choice));
+      else this.#resolve(call, this.#refuseWithoutTarget(choice.wait));
     }
-    this.#pumpLater();
+    this.#schedulePump();
   }
 
-  #noteWait(
+  #updatePace(
     { work }: SlotCall,
     { pace, slowdown, limit, opensIn }: Extract<ReturnType<TargetChooser>, { kind: 'wait' }>,
   ): void {
-    this.#limit = limit;
-    this.#line.updatePace(pace * work, slowdown, opensIn);
+    this.#limitReason = limit;
+    this.#waiting.updatePace(pace * work, slowdown, opensIn);
   }
 
-  #answer(call: SlotCall, answer: PlacementResult): void {
+  #resolve(call: SlotCall, result: PlacementResult): void {
     const resolve = this.#resolvers.get(call);
     this.remove(call);
-    resolve?.(answer);
+    resolve?.(result);
   }
 
-  /** Sends back those that wait in vain, as the outlook is now. */
-  #review(): void {
-    for (const { call, wait } of this.#line.removeHopeless(this.#limit !== undefined)) {
-      this.#answer(call, this.#refuse(wait));
+  /** Refuses waiting calls that are not expected to be answered in time at the current pace. */
+  #refuseHopeless(): void {
+    for (const { call, wait } of this.#waiting.removeHopeless(this.#limitReason !== undefined)) {
+      this.#resolve(call, this.#refuse(wait));
     }
   }
 
   #refuse(wait: number): PlacementResult {
-    const reason = this.#limit ?? 'no-room';
-    return { kind: 'refused', reason, wait: this.#line.chooseRetryDelay(wait) };
+    const reason = this.#limitReason ?? 'no-room';
+    return { kind: 'refused', reason, wait: this.#waiting.chooseRetryDelay(wait) };
   }
 
-  #refuseNone(wait: number | undefined): PlacementResult {
-    if (wait === undefined) return { kind: 'refused', reason: 'no-target', wait: NO_TARGET_RETURN };
-    return { kind: 'refused', reason: 'backoff', wait: this.#line.chooseRetryDelay(wait) };
+  #refuseWithoutTarget(wait: number | undefined): PlacementResult {
+    if (wait === undefined)
+      return { kind: 'refused', reason: 'no-target', wait: NO_TARGET_WAIT_MS };
+    return { kind: 'refused', reason: 'backoff', wait: this.#waiting.chooseRetryDelay(wait) };
   }
 
-  #follow(call: SlotCall, admission: Admission): PlacementResult | undefined {
+  #tryRefuse(call: SlotCall, admission: Admission): PlacementResult | undefined {
     if (admission.kind !== 'refuse' || !call.isWorkKnown) return undefined;
-    // A slot may free sooner than expected, so a repeat waits on for one; what targets take is known.
-    if (!call.mayBeRefused && this.#limit === undefined) return undefined;
+    // A slot may become free sooner than expected, so a retry keeps waiting for one. Rate limits
+    // and back-offs are known, so for them it does not.
+    if (!call.mayBeRefused && this.#limitReason === undefined) return undefined;
     return this.#refuse(admission.wait);
   }
 
   /**
-   * Starts a call that is expected to be answered while its caller waits; one that would end too late
-   * takes a slot for nothing and is told so instead, with the time of a usual call. Counts the call at once,
-   * so that the next one that asks finds the slot taken.
+   * Starts a call that is expected to be answered while its caller waits. A call that would end too
+   * late would waste a slot; it is refused instead, with the work of a call as retry delay. Counts
+   * the call at once, so that the next one sees the slot taken.
    */
   #start(
     call: SlotCall,
@@ -185,28 +205,29 @@
     const now = this.clock.now();
     const duration = call.work * load.slowdown * call.spread;
     if (call.mayBeRefused && call.isWorkKnown && now + duration > call.deadline) {
-      // How slow the free ones are says nothing of when a quick one has ended its call.
+      // The slowdown of the free targets does not tell when a fast target becomes free, so it is
+      // left out of the delay.
       return this.#refuse(call.work);
     }
     candidate.start(now);
     return { kind: 'target', target: candidate };
   }
 
-  #wait(call: SlotCall, isSure: boolean): Promise<PlacementResult> {
+  #wait(call: SlotCall, isInTime: boolean): Promise<PlacementResult> {
     this.lastWaitAt = this.clock.now();
     return new Promise((resolve) => {
-      this.#line.add(call, isSure);
+      this.#waiting.add(call, isInTime);
       this.#resolvers.set(call, resolve);
-      this.#pumpLater();
+      this.#schedulePump();
     });
   }
 
-  #pumpLater(): void {
+  #schedulePump(): void {
     if (this.#timer !== undefined || this.size === 0) return;
-    this.#timer = this.clock.schedule(PUMP_PACE, () => {
+    this.#timer = this.clock.schedule(PUMP_INTERVAL_MS, () => {
       this.#timer = undefined;
       this.pump();
-      this.#review();
+      this.#refuseHopeless();
     });
   }
 }
--- a/test/strange.test.ts
+++ b/test/strange.test.ts
@@ -161,7 +161,7 @@
     const after = targets.getService('alpha').targets.get('i-1');
     expect(after?.load.countCalls(0, 1)).to.equal(0);
     expect(after?.load.lastSlowdown).to.equal(1);
-    expect(after?.failures.read(0)).to.equal(0);
+    expect(after?.failureRate.read(0)).to.equal(0);
     expect(after?.isUsable).to.equal(true);
     // Reports of other daemons about the earlier run are not taken for the later one.
     expect(targets.findByHash(before?.hash ?? 0)).to.equal(undefined);
