--- a/src/view/fleet-view.ts
+++ b/src/view/fleet-view.ts
@@ -74,15 +74,15 @@
 }
 
 /** Departures remembered for daemons that ask what changed; the history of some minutes. */
-const MAX_LEFT = 2000;
+const MAX_REMOVED_TARGETS = 2000;
 
 /**
  * A target that is cold for this much longer than it was known to be has turned cold again, in milliseconds: what one
  * entry says differs by its way here.
  */
-const COLD_AGAIN = 1000;
+const MIN_COLD_EXTENSION_MS = 1000;
 
-function matchRecords(a: TargetRecord, b: TargetRecord): boolean {
+function isSameRecord(a: TargetRecord, b: TargetRecord): boolean {
   return (
     a.service === b.service &&
     a.born === b.born &&
@@ -103,14 +103,14 @@
 
   readonly #targets = new Map<string, ListedTarget>();
 
-  #left: readonly RemovedTarget[] = [];
+  #removed: readonly RemovedTarget[] = [];
 
-  readonly #leftAt = new Map<string, number>();
+  readonly #removedAt = new Map<string, number>();
 
   /** Departures up to this revision are no longer remembered. */
-  #leftFloor = 0;
+  #forgottenUpTo = 0;
 
-  #targetsAt = 0;
+  #targetsRevision = 0;
 
   #provenAt = -Infinity;
 
@@ -128,7 +128,7 @@
   /** How far this view has come. */
   get position(): ViewPosition {
     return {
-      ...{ targets: this.#targetsAt, configuration: this.configurationRevision },
+      ...{ targets: this.#targetsRevision, configuration: this.configurationRevision },
       evacuations: this.#evacuations.revision,
     };
   }
@@ -173,8 +173,8 @@
 
   /** Takes all the domains that are evacuated, as the store held them at a revision. */
   setEvacuations({ domains, revision }: Evacuations): void {
-    const { domains: known, revision: knownAt } = this.#evacuations;
-    if (revision <= knownAt) return;
+    const { domains: known, revision: knownRevision } = this.#evacuations;
+    if (revision <= knownRevision) return;
     // What is the same at a later revision is taken as well: word of what stood between may still come.
     this.#evacuations = { domains, revision };
     const isSame = domains.length === known.length && domains.every((it) => known.includes(it));
@@ -192,27 +192,27 @@
     }
     if (this.#table !== undefined && table.version <= this.#table.version) return;
     this.#table = table;
-    for (const remark of table.warnings) this.listener.onFault(remark);
+    for (const warning of table.warnings) this.listener.onFault(warning);
     this.listener.onTable(table);
   }
 
   /** Takes a target's entry; one that says nothing new but that it lives changes no revision. */
   putTarget(record: TargetRecord, revision: number, now: number): void {
     const { incarnation } = record;
-    if (revision <= (this.#leftAt.get(incarnation) ?? 0)) return;
+    if (revision <= (this.#removedAt.get(incarnation) ?? 0)) return;
     const known = this.#targets.get(incarnation);
     if (known !== undefined && revision <= known.revision) return;
     // Of two starts under one name the later one holds, in whatever order news come.
     if (known !== undefined && record.born < known.record.born) return;
     const coldUntil = record.coldLeft > 0 ? now + record.coldLeft : -Infinity;
-    const isColder = coldUntil > (known?.coldUntil ?? -Infinity) + COLD_AGAIN;
-    if (known !== undefined && !isColder && matchRecords(known.record, record)) {
+    const isColdAgain = coldUntil > (known?.coldUntil ?? -Infinity) + MIN_COLD_EXTENSION_MS;
+    if (known !== undefined && !isColdAgain && isSameRecord(known.record, record)) {
       this.#targets.set(incarnation, { ...known, coldUntil });
       return;
     }
     this.#targets.set(incarnation, { record, revision, coldUntil });
-    this.#leftAt.delete(incarnation);
-    this.#note(revision);
+    this.#removedAt.delete(incarnation);
+    this.#advanceTargets(revision);
     this.listener.onTarget(incarnation, record, revision);
   }
 
@@ -220,18 +220,18 @@
   removeTarget(incarnation: string, revision: number): void {
     const known = this.#targets.get(incarnation);
     if (known !== undefined && revision <= known.revision) return;
-    if (revision <= (this.#leftAt.get(incarnation) ?? 0)) return;
-    this.#leftAt.set(incarnation, revision);
-    this.#left = [...this.#left, { incarnation, revision }];
-    if (this.#left.length > MAX_LEFT) this.#trimLeft();
-    this.#note(revision);
+    if (revision <= (this.#removedAt.get(incarnation) ?? 0)) return;
+    this.#removedAt.set(incarnation, revision);
+    this.#removed = [...this.#removed, { incarnation, revision }];
+    if (this.#removed.length > MAX_REMOVED_TARGETS) this.#trimRemoved();
+    this.#advanceTargets(revision);
     if (!this.#targets.delete(incarnation)) return;
     this.listener.onTarget(incarnation, undefined, revision);
   }
 
   /** Tells what changed after a position, or everything when that is no longer known. */
   diffSince(after: ViewPosition, now: number): ViewDelta {
-    const isWhole = after.targets < this.#leftFloor || after.targets === 0;
+    const isWhole = after.targets < this.#forgottenUpTo || after.targets === 0;
     const configuration = this.#configuration;
     const targets = this.listTargets()
       .filter((listed) => isWhole || listed.revision > after.targets)
@@ -246,7 +246,7 @@
           ? configuration
           : undefined,
       evacuations: this.#evacuations.revision > after.evacuations ? this.#evacuations : undefined,
-      left: this.#left.filter((left) => left.revision > after.targets),
+      left: this.#removed.filter((left) => left.revision > after.targets),
     };
   }
 
@@ -260,26 +260,26 @@
     for (const { record, revision } of delta.targets) this.putTarget(record, revision, now);
     for (const { incarnation, revision } of delta.left) this.removeTarget(incarnation, revision);
     if (delta.isWhole) {
-      const named = new Set(delta.targets.map(({ record }) => record.incarnation));
+      const present = new Set(delta.targets.map(({ record }) => record.incarnation));
       for (const [incarnation, listed] of this.#targets) {
-        if (!named.has(incarnation) && listed.revision <= delta.position.targets) {
+        if (!present.has(incarnation) && listed.revision <= delta.position.targets) {
           this.removeTarget(incarnation, delta.position.targets);
         }
       }
     }
-    this.#note(delta.position.targets);
+    this.#advanceTargets(delta.position.targets);
   }
 
-  #note(revision: number): void {
-    this.#targetsAt = Math.max(this.#targetsAt, revision);
+  #advanceTargets(revision: number): void {
+    this.#targetsRevision = Math.max(this.#targetsRevision, revision);
   }
 
-  #trimLeft(): void {
-    const dropped = this.#left.slice(0, MAX_LEFT / 2);
-    this.#left = this.#left.slice(MAX_LEFT / 2);
+  #trimRemoved(): void {
+    const dropped = this.#removed.slice(0, MAX_REMOVED_TARGETS / 2);
+    this.#removed = this.#removed.slice(MAX_REMOVED_TARGETS / 2);
     for (const { incarnation, revision } of dropped) {
-      this.#leftFloor = Math.max(this.#leftFloor, revision);
-      if (this.#leftAt.get(incarnation) === revision) this.#leftAt.delete(incarnation);
+      this.#forgottenUpTo = Math.max(this.#forgottenUpTo, revision);
+      if (this.#removedAt.get(incarnation) === revision) this.#removedAt.delete(incarnation);
     }
   }
 }
--- a/src/view/propagation-times.ts
+++ b/src/view/propagation-times.ts
@@ -29,7 +29,7 @@
 }
 
 /** Parts of the promised time. */
-const PARTS: PropagationTimes = {
+const FRACTIONS: PropagationTimes = {
   watchTimeout: 0.35,
   nearMaxStaleness: 0.5,
   remoteMaxStaleness: 0.75,
@@ -40,30 +40,30 @@
 };
 
 /** Presence is told by the same questions, so they come no more slowly than this, whatever is promised. */
-const SLOWEST_NEAR_PACE = 100;
-const SLOWEST_REMOTE_PACE = 250;
+const MAX_NEAR_POLL_INTERVAL_MS = 100;
+const MAX_REMOTE_POLL_INTERVAL_MS = 250;
 
 /** Pauses are no longer than this, whatever is promised: once the store is back daemons are to be in step soon. */
-const LONGEST_PAUSE = 1000;
-const LONGEST_REMOTE_PAUSE = 2500;
+const MAX_BACKOFF_MS = 1000;
+const MAX_REMOTE_BACKOFF_MS = 2500;
 
 /** A longer promise is no reason to learn of a killed reader later than this, in milliseconds. */
-const LONGEST_PROMISE = 3000;
+const MAX_PROMISE_MS = 3000;
 
 /** A shorter one can't be kept with questions over a network, and its times would be spent on nothing else. */
-const SHORTEST_PROMISE = 500;
+const MIN_PROMISE_MS = 500;
 
 /** Plans the times. @param promised the time within which a change is to be in force everywhere, in milliseconds */
 export function planPropagation(promised: number): PropagationTimes {
-  const time = Math.max(SHORTEST_PROMISE, Math.min(LONGEST_PROMISE, promised));
+  const time = Math.max(MIN_PROMISE_MS, Math.min(MAX_PROMISE_MS, promised));
   return {
-    watchTimeout: PARTS.watchTimeout * time,
-    nearMaxStaleness: PARTS.nearMaxStaleness * time,
-    remoteMaxStaleness: PARTS.remoteMaxStaleness * time,
-    nearPollInterval: Math.min(SLOWEST_NEAR_PACE, PARTS.nearPollInterval * time),
-    remotePollInterval: Math.min(SLOWEST_REMOTE_PACE, PARTS.remotePollInterval * time),
-    maxBackoff: Math.min(LONGEST_PAUSE, PARTS.maxBackoff * time),
-    maxRemoteBackoff: Math.min(LONGEST_REMOTE_PAUSE, PARTS.maxRemoteBackoff * time),
+    watchTimeout: FRACTIONS.watchTimeout * time,
+    nearMaxStaleness: FRACTIONS.nearMaxStaleness * time,
+    remoteMaxStaleness: FRACTIONS.remoteMaxStaleness * time,
+    nearPollInterval: Math.min(MAX_NEAR_POLL_INTERVAL_MS, FRACTIONS.nearPollInterval * time),
+    remotePollInterval: Math.min(MAX_REMOTE_POLL_INTERVAL_MS, FRACTIONS.remotePollInterval * time),
+    maxBackoff: Math.min(MAX_BACKOFF_MS, FRACTIONS.maxBackoff * time),
+    maxRemoteBackoff: Math.min(MAX_REMOTE_BACKOFF_MS, FRACTIONS.maxRemoteBackoff * time),
   };
 }
 
@@ -76,15 +76,16 @@
 }
 
 /** Hops of a question, its answer, a connection for the fetch, and the fetch. */
-const HOPS_OF_NEWS = 6;
+const HOPS_OF_FETCH = 6;
 
 /** Computes how long after a change the last daemon has it, when those that read for all turned silent just before. */
 export function computeMaxPropagationDelay(
   times: PropagationTimes,
-  { hop, storeCall: call }: NetworkDelays,
+  { hop, storeCall }: NetworkDelays,
 ): number {
-  const near = times.nearMaxStaleness + call;
-  const told = near + times.nearPollInterval + times.remotePollInterval + 2 * HOPS_OF_NEWS * hop;
-  const alone = times.remoteMaxStaleness + call;
-  return Math.max(near, Math.min(told, alone));
+  const readNearHomes = times.nearMaxStaleness + storeCall;
+  const fetchedElsewhere =
+    readNearHomes + times.nearPollInterval + times.remotePollInterval + 2 * HOPS_OF_FETCH * hop;
+  const readElsewhere = times.remoteMaxStaleness + storeCall;
+  return Math.max(readNearHomes, Math.min(fetchedElsewhere, readElsewhere));
 }
--- a/src/view/store-reader.ts
+++ b/src/view/store-reader.ts
@@ -33,25 +33,25 @@
   readonly getWatchTimeout: () => number;
 }
 
-const NO_WAIT = 1;
+const MIN_WATCH_TIMEOUT_MS = 1;
 
 /** Least time between two watches, for many changes in quick succession. */
-const WATCH_PACE = 200;
+const MIN_WATCH_INTERVAL_MS = 200;
 
 /** How often a daemon that does not read looks whether it has to. */
-const IDLE_PACE = 200;
+const IDLE_CHECK_INTERVAL_MS = 200;
 
 /** The same for one that nobody has told anything yet, and which is not ready before. */
-const START_PACE = 20;
+const START_CHECK_INTERVAL_MS = 20;
 
 /** The pause after a call that the store did not answer well, in milliseconds; each next one is longer. */
-const FIRST_PAUSE = 200;
+const FIRST_BACKOFF_MS = 200;
 
 /** An outage longer than this may have made entries lapse. */
-const LAPSE_OUTAGE = 1000;
+const MIN_LAPSE_OUTAGE_MS = 1000;
 
 /** Entries that lapsed in an outage are back within this time, or gone. */
-const LAPSE_GRACE = 1900;
+const LAPSE_GRACE_MS = 1900;
 
 interface PendingRemoval {
   readonly revision: number;
@@ -64,11 +64,11 @@
 
   constructor(
     private readonly random: Random,
-    private readonly readLongest: () => number,
+    private readonly getMax: () => number,
   ) {}
 
   next(): number {
-    const pause = Math.min(this.readLongest(), FIRST_PAUSE * 2 ** this.#failures);
+    const pause = Math.min(this.getMax(), FIRST_BACKOFF_MS * 2 ** this.#failures);
     this.#failures += 1;
     return pause * (0.75 + this.random.next() / 2);
   }
@@ -81,18 +81,18 @@
 /** The reader of one daemon. */
 export class StoreReader {
   /** The revision after which changes are asked for; 0 when everything is to be read. */
-  #after = 0;
+  #afterRevision = 0;
 
-  #readAt = -Infinity;
+  #lastReadAt = -Infinity;
 
   #failingSince: number | undefined;
 
-  #lapseUntil = -Infinity;
+  #lapseGraceUntil = -Infinity;
 
-  readonly #pending = new Map<string, PendingRemoval>();
+  readonly #pendingRemovals = new Map<string, PendingRemoval>();
 
   /** Entries of targets that could not be decoded. */
-  readonly #unreadable = new Set<string>();
+  readonly #unreadableTargets = new Set<string>();
 
   /** Keys of the operators that could not be decoded. */
   readonly #unreadableKeys = new Set<string>();
@@ -101,12 +101,12 @@
 
   /** The last moment at which this daemon itself saw that the store held nothing newer. */
   get lastReadAt(): number {
-    return this.#readAt;
+    return this.#lastReadAt;
   }
 
   /** Entries of targets and keys of the operators that can't be decoded now. */
   get unreadableCount(): number {
-    return this.#unreadable.size + this.#unreadableKeys.size;
+    return this.#unreadableTargets.size + this.#unreadableKeys.size;
   }
 
   /** Reads once, cheaply and perhaps seconds late, so that a starting daemon knows something. */
@@ -116,42 +116,42 @@
 
   /** Reads until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
-    const { clock, isReader, random, getMaxBackoff: readLongestPause } = this.options;
-    const backoff = new Backoff(random, readLongestPause);
+    const { clock, isReader, random, getMaxBackoff } = this.options;
+    const backoff = new Backoff(random, getMaxBackoff);
     while (!signal.aborted) {
-      this.#settlePending();
+      this.#applyDueRemovals();
       if (!isReader()) {
         // Others read, so the outage that this daemon saw is over, whatever it sees when it reads again.
         this.#failingSince = undefined;
-        await clock.sleep(this.#chooseIdleTime(), signal);
+        await clock.sleep(this.#chooseIdleDelay(), signal);
         continue;
       }
       const startedAt = clock.now();
-      const read = await this.#read();
-      if (read) {
+      const hasRead = await this.#readChanges();
+      if (hasRead) {
         backoff.clear();
-        await clock.sleep(Math.max(0, startedAt + WATCH_PACE - clock.now()), signal);
+        await clock.sleep(Math.max(0, startedAt + MIN_WATCH_INTERVAL_MS - clock.now()), signal);
       } else {
-        this.#noteFailure();
+        this.#recordFailure();
         await clock.sleep(backoff.next(), signal);
       }
     }
   }
 
-  #chooseIdleTime(): number {
-    const { view, getReadDelay: readDueIn } = this.options;
-    const pace = view.provenAt === -Infinity ? START_PACE : IDLE_PACE;
-    return Math.max(1, Math.min(pace, readDueIn()));
+  #chooseIdleDelay(): number {
+    const { view, getReadDelay } = this.options;
+    const interval = view.provenAt === -Infinity ? START_CHECK_INTERVAL_MS : IDLE_CHECK_INTERVAL_MS;
+    return Math.max(1, Math.min(interval, getReadDelay()));
   }
 
   /** One reading; false when the store did not answer. */
-  async #read(): Promise<boolean> {
+  async #readChanges(): Promise<boolean> {
     const { store, view, clock, log } = this.options;
-    const after = Math.max(this.#after, Math.min(view.known.targets, view.known.operators));
+    const after = Math.max(this.#afterRevision, Math.min(view.known.targets, view.known.operators));
     if (after === 0) return this.#readAll(false);
     const startedAt = clock.now();
-    const wait = this.#chooseWait(startedAt);
-    const answer = await store.watch(KEYS.all, after, wait);
+    const timeout = this.#chooseWatchTimeout(startedAt);
+    const answer = await store.watch(KEYS.all, after, timeout);
     const took = Math.round(clock.now() - startedAt);
     switch (answer.kind) {
       case 'events':
@@ -161,11 +161,11 @@
             .map((event) => (event.kind === 'written' ? event.item.revision : -event.revision))
             .join(','),
         });
-        this.#noteSuccess();
-        for (const event of answer.events) this.#takeEvent(event);
-        this.#after = Math.max(after, answer.storeRevision);
+        this.#recordSuccess();
+        for (const event of answer.events) this.#applyEvent(event);
+        this.#afterRevision = Math.max(after, answer.storeRevision);
         // Without news the answer was made at the end of the wait; with news at an unknown moment.
-        this.#prove(answer.events.length === 0 ? startedAt + wait : startedAt);
+        this.#recordProof(answer.events.length === 0 ? startedAt + timeout : startedAt);
         return true;
       case 'history-gone':
         log.warn('store.history-gone', { after });
@@ -183,51 +183,51 @@
    * How long the next watch waits: until the last proof is as old as one may become. Before the first one, and after a
    * call that was not answered, it only asks what there is.
    */
-  #chooseWait(now: number): number {
-    if (this.#failingSince !== undefined) return NO_WAIT;
-    const wait = this.options.getWatchTimeout();
-    return Math.max(NO_WAIT, Math.min(wait, this.#readAt + wait - now));
+  #chooseWatchTimeout(now: number): number {
+    if (this.#failingSince !== undefined) return MIN_WATCH_TIMEOUT_MS;
+    const timeout = this.options.getWatchTimeout();
+    return Math.max(MIN_WATCH_TIMEOUT_MS, Math.min(timeout, this.#lastReadAt + timeout - now));
   }
 
-  #prove(at: number): void {
+  #recordProof(at: number): void {
     const { view } = this.options;
-    this.#readAt = Math.max(this.#readAt, at);
+    this.#lastReadAt = Math.max(this.#lastReadAt, at);
     view.recordProof(at);
-    view.advanceKnown({ targets: this.#after, operators: this.#after });
+    view.advanceKnown({ targets: this.#afterRevision, operators: this.#afterRevision });
   }
 
   /** Reads everything; what changes meanwhile comes by the watch from the first page on. */
-  async #readAll(stale: boolean): Promise<boolean> {
+  async #readAll(allowsStale: boolean): Promise<boolean> {
     const startedAt = this.options.clock.now();
     const revisions = await Promise.all([
-      this.#readAllOfOperators(stale),
-      this.#readAllTargets(stale),
+      this.#readAllOperatorKeys(allowsStale),
+      this.#readAllTargets(allowsStale),
     ]);
     const [operators, targets] = revisions;
     if (operators === undefined || targets === undefined) return false;
-    this.#after = Math.max(this.#after, Math.min(operators, targets));
-    if (stale) return true;
-    this.#noteSuccess();
-    this.#prove(startedAt);
+    this.#afterRevision = Math.max(this.#afterRevision, Math.min(operators, targets));
+    if (allowsStale) return true;
+    this.#recordSuccess();
+    this.#recordProof(startedAt);
     return true;
   }
 
   /** Reads all targets; returns the store's revision at the first page, undefined when the store did not answer. */
-  async #readAllTargets(stale: boolean): Promise<number | undefined> {
+  async #readAllTargets(allowsStale: boolean): Promise<number | undefined> {
     const { view } = this.options;
-    const items = await this.#readItems(KEYS.targets, stale);
+    const items = await this.#readItems(KEYS.targets, allowsStale);
     if (items === undefined) return undefined;
     const seen = new Set<string>();
     for (const item of items.listed) {
       seen.add(item.key.slice(KEYS.targets.length));
       // Changes since the first page come by the watch, in their order: a view that is told of a later one first
       // passes on a position that hides the earlier ones from other daemons.
-      if (item.revision <= items.revision) this.#takeTarget(item);
+      if (item.revision <= items.revision) this.#applyTarget(item);
     }
-    if (stale) return items.revision;
+    if (allowsStale) return items.revision;
     for (const { record, revision } of view.listTargets()) {
       if (seen.has(record.incarnation) || revision > items.revision) continue;
-      this.#takeRemoval(KEYS.targets + record.incarnation, items.revision);
+      this.#applyRemoval(KEYS.targets + record.incarnation, items.revision);
     }
     return items.revision;
   }
@@ -235,13 +235,13 @@
   /** Reads the pages of a prefix; `revision` is the store's at the first one. */
   async #readItems(
     prefix: string,
-    stale: boolean,
+    allowsStale: boolean,
   ): Promise<{ readonly listed: readonly StoredItem[]; readonly revision: number } | undefined> {
     const { store, log } = this.options;
     const listed: StoredItem[] = [];
     let revision: number | undefined;
     for (let after = ''; ;) {
-      const page = await store.readItems(prefix, after, stale);
+      const page = await store.readItems(prefix, after, allowsStale);
       if (page.kind !== 'items') {
         log.warn('store.unanswered', { call: 'range', prefix, reason: page.reason });
         return undefined;
@@ -254,67 +254,67 @@
     }
   }
 
-  #takeEvent(event: StoreEvent): void {
+  #applyEvent(event: StoreEvent): void {
     const key = event.kind === 'written' ? event.item.key : event.key;
-    if (key.startsWith(KEYS.operators)) this.#takeOperatorsEvent(event);
+    if (key.startsWith(KEYS.operators)) this.#applyOperatorEvent(event);
     if (!key.startsWith(KEYS.targets)) return;
-    if (event.kind === 'written') this.#takeTarget(event.item);
-    else this.#takeRemoval(event.key, event.revision);
+    if (event.kind === 'written') this.#applyTarget(event.item);
+    else this.#applyRemoval(event.key, event.revision);
   }
 
-  #takeTarget(item: StoredItem): void {
+  #applyTarget(item: StoredItem): void {
     const { view, clock, log } = this.options;
     const incarnation = item.key.slice(KEYS.targets.length);
     const record = decodeTarget(incarnation, item.text);
-    this.#pending.delete(incarnation);
+    this.#pendingRemovals.delete(incarnation);
     if ('kind' in record) {
       // Whoever wrote it, it names no target to use; told once, until it is good again.
-      if (!this.#unreadable.has(incarnation)) {
+      if (!this.#unreadableTargets.has(incarnation)) {
         const { what, expected } = record;
         log.warn('target.unreadable', { incarnation, what, expected, revision: item.revision });
       }
-      this.#unreadable.add(incarnation);
+      this.#unreadableTargets.add(incarnation);
       view.removeTarget(incarnation, item.revision);
       return;
     }
-    this.#unreadable.delete(incarnation);
+    this.#unreadableTargets.delete(incarnation);
     view.putTarget(record, item.revision, clock.now());
   }
 
   /** Entries that lapsed while the store was away come back; until that is clear they stay in use. */
-  #takeRemoval(key: string, revision: number): void {
+  #applyRemoval(key: string, revision: number): void {
     const incarnation = key.slice(KEYS.targets.length);
-    this.#unreadable.delete(incarnation);
+    this.#unreadableTargets.delete(incarnation);
     const now = this.options.clock.now();
-    if (now < this.#lapseUntil) {
-      this.#pending.set(incarnation, { revision, due: this.#lapseUntil });
+    if (now < this.#lapseGraceUntil) {
+      this.#pendingRemovals.set(incarnation, { revision, due: this.#lapseGraceUntil });
       return;
     }
     this.options.view.removeTarget(incarnation, revision);
   }
 
-  #settlePending(): void {
+  #applyDueRemovals(): void {
     const { clock, view, log } = this.options;
     const now = clock.now();
-    for (const [incarnation, { revision, due }] of this.#pending) {
+    for (const [incarnation, { revision, due }] of this.#pendingRemovals) {
       if (now < due) continue;
-      this.#pending.delete(incarnation);
+      this.#pendingRemovals.delete(incarnation);
       log.info('target.lapsed', { incarnation, revision });
       // Others have heard of a later revision meanwhile, so the removal is told as of now.
       view.removeTarget(incarnation, Math.max(revision, view.position.targets, view.known.targets));
     }
   }
 
-  #noteSuccess(): void {
+  #recordSuccess(): void {
     const { clock, log } = this.options;
     if (this.#failingSince === undefined) return;
     const outage = clock.now() - this.#failingSince;
     this.#failingSince = undefined;
     log.info('store.regained', { outage: Math.round(outage) });
-    if (outage >= LAPSE_OUTAGE) this.#lapseUntil = clock.now() + LAPSE_GRACE;
+    if (outage >= MIN_LAPSE_OUTAGE_MS) this.#lapseGraceUntil = clock.now() + LAPSE_GRACE_MS;
   }
 
-  #noteFailure(): void {
+  #recordFailure(): void {
     const { clock, log } = this.options;
     if (this.#failingSince !== undefined) return;
     this.#failingSince = clock.now();
@@ -322,10 +322,10 @@
   }
 
   /** Reads all that the operators keep; returns as for targets. */
-  async #readAllOfOperators(stale: boolean): Promise<number | undefined> {
-    const items = await this.#readItems(KEYS.operators, stale);
+  async #readAllOperatorKeys(allowsStale: boolean): Promise<number | undefined> {
+    const items = await this.#readItems(KEYS.operators, allowsStale);
     if (items === undefined) return undefined;
-    for (const item of items.listed) this.#takeConfiguration(item);
+    for (const item of items.listed) this.#applyConfiguration(item);
     // Later pages may be newer than the first; what changed since then is told again, from there on.
     const domains = this.#listDomains(items.listed.map(({ key }) => key));
     this.options.view.setEvacuations({ domains, revision: items.revision });
@@ -354,10 +354,10 @@
     return undefined;
   }
 
-  #takeOperatorsEvent(event: StoreEvent): void {
+  #applyOperatorEvent(event: StoreEvent): void {
     const { view } = this.options;
     const isWritten = event.kind === 'written';
-    if (isWritten) this.#takeConfiguration(event.item);
+    if (isWritten) this.#applyConfiguration(event.item);
     const [key, revision] = isWritten
       ? [event.item.key, event.item.revision]
       : [event.key, event.revision];
@@ -368,7 +368,7 @@
     view.setEvacuations({ domains: isWritten ? [...others, domain] : others, revision });
   }
 
-  #takeConfiguration(item: StoredItem): void {
+  #applyConfiguration(item: StoredItem): void {
     if (item.key !== KEYS.configuration) return;
     this.options.view.setConfiguration(item.text, item.revision);
   }
