--- a/src/peering/datagram.ts
+++ b/src/peering/datagram.ts
@@ -76,7 +76,7 @@
 /** A datagram. */
 export type Datagram =
   /** `asked` is how many daemons are asked in all, this one included. */
-  | { readonly kind: 'ask'; readonly self: SelfStatus; readonly asked: number }
+  | { readonly kind: 'ask'; readonly self: SelfStatus; readonly polledCount: number }
   | { readonly kind: 'tell'; readonly self: SelfStatus; readonly knowledge: Knowledge }
   | { readonly kind: 'load'; readonly loadReports: readonly TargetLoadReport[] }
   | { readonly kind: 'cases'; readonly poisonReports: readonly PoisonReport[] }
@@ -84,17 +84,17 @@
 
 const STATES: readonly MemberState[] = ['starting', 'ready', 'stopping'];
 
-const ASK = 0;
-const TELL = 1;
+const POLL = 0;
+const REPLY = 1;
 const LOAD = 2;
-const CASES = 3;
+const POISON = 3;
 const DRAINING = 4;
 
 /** Slowdowns travel as whole tenths, and none as 0. */
 const SLOWDOWN_STEPS = 10;
 
 /** The part of time at work travels in hundredths. */
-const BUSY_STEPS = 100;
+const UTILISATION_STEPS = 100;
 
 /** Ages travel as whole milliseconds, and none as nil. */
 function encodeAge(age: number): number | null {
@@ -115,13 +115,13 @@
 }
 
 /** The part of a daemon's questions travels in hundredths. */
-const ASKER_STEPS = 100;
+const POLLER_STEPS = 100;
 
 function encodeSelf(self: SelfStatus): readonly unknown[] {
-  const { domain, capacity, isSenior, state, utilisation: busy, pollers: askers } = self;
+  const { domain, capacity, isSenior, state, utilisation, pollers } = self;
   return [
     ...[domain, capacity, STATES.indexOf(state), isSenior],
-    ...[Math.round(busy * BUSY_STEPS), Math.round(askers * ASKER_STEPS)],
+    ...[Math.round(utilisation * UTILISATION_STEPS), Math.round(pollers * POLLER_STEPS)],
   ];
 }
 
@@ -131,46 +131,40 @@
   ]);
 }
 
-function encodeCases(cases: readonly PoisonReport[]): readonly unknown[] {
-  return cases.map(({ request, ended, releases, age }) => [
+function encodePoisonReports(reports: readonly PoisonReport[]): readonly unknown[] {
+  return reports.map(({ request, ended, releases, age }) => [
     ...[request, Math.max(0, Math.round(age)), ended, releases],
   ]);
 }
 
 /** Few shares name a rate, so those that do stand behind all, each with its place. */
-function encodeNamed(shares: readonly TargetLoadReport[]): readonly unknown[] {
-  const named = shares.flatMap((share, index) =>
-    share.advertisedRate === undefined
+function encodeAdvertisedRates(reports: readonly TargetLoadReport[]): readonly unknown[] {
+  const rates = reports.flatMap((report, index) =>
+    report.advertisedRate === undefined
       ? []
       : [
           index,
-          share.advertisedRate.rate ?? null,
-          Math.max(0, Math.round(share.advertisedRate.age)),
+          report.advertisedRate.rate ?? null,
+          Math.max(0, Math.round(report.advertisedRate.age)),
         ],
   );
-  return named.length === 0 ? [] : [named];
+  return rates.length === 0 ? [] : [rates];
 }
 
 /** Packs a datagram. */
 export function encodeDatagram(datagram: Datagram): Uint8Array {
   switch (datagram.kind) {
     case 'ask':
-      return encode([ASK, ...encodeSelf(datagram.self), datagram.asked]);
+      return encode([POLL, ...encodeSelf(datagram.self), datagram.polledCount]);
     case 'tell': {
-      const {
-        position,
-        proofAge,
-        lastRead: reading,
-        known,
-        membersFingerprint: members,
-        desiredHomes: homes,
-      } = datagram.knowledge;
+      const { position, proofAge, lastRead, known, membersFingerprint, desiredHomes } =
+        datagram.knowledge;
       return encode([
-        ...[TELL, ...encodeSelf(datagram.self), position.targets, position.configuration],
-        ...[encodeAge(proofAge), known.targets, members, homes],
-        ...[reading === undefined ? null : [encodeIp(reading.reader), encodeAge(reading.age)]],
-        encodePresences(datagram.knowledge.presences.slice(0, MOST_PRESENCES)),
-        encodeCases(datagram.knowledge.poisonReports),
+        ...[REPLY, ...encodeSelf(datagram.self), position.targets, position.configuration],
+        ...[encodeAge(proofAge), known.targets, membersFingerprint, desiredHomes],
+        ...[lastRead === undefined ? null : [encodeIp(lastRead.reader), encodeAge(lastRead.age)]],
+        encodePresences(datagram.knowledge.presences.slice(0, MAX_PRESENCES)),
+        encodePoisonReports(datagram.knowledge.poisonReports),
         ...[position.evacuations, known.operators],
       ]);
     }
@@ -180,10 +174,10 @@
         ...datagram.loadReports.flatMap(({ target, inFlight, slowdown, age }) => [
           ...[target, inFlight, Math.round((slowdown ?? 0) * SLOWDOWN_STEPS), Math.round(age)],
         ]),
-        ...encodeNamed(datagram.loadReports),
+        ...encodeAdvertisedRates(datagram.loadReports),
       ]);
     case 'cases':
-      return encode([CASES, ...encodeCases(datagram.poisonReports)]);
+      return encode([POISON, ...encodePoisonReports(datagram.poisonReports)]);
     case 'draining': {
       const fields = datagram.targets.flatMap(({ target, age }) => [target, Math.round(age)]);
       return encode([DRAINING, ...fields]);
@@ -198,15 +192,15 @@
 }
 
 function decodeSelf(fields: readonly unknown[]): SelfStatus | undefined {
-  const [domain, capacity, state, isSenior, busy, askers] = fields;
-  const known = STATES[Number(state)];
-  if (typeof domain !== 'string' || typeof capacity !== 'number' || known === undefined) {
+  const [domain, capacity, state, isSenior, utilisation, pollers] = fields;
+  const decodedState = STATES[Number(state)];
+  if (typeof domain !== 'string' || typeof capacity !== 'number' || decodedState === undefined) {
     return undefined;
   }
-  if (typeof busy !== 'number' || typeof askers !== 'number') return undefined;
+  if (typeof utilisation !== 'number' || typeof pollers !== 'number') return undefined;
   return {
-    ...{ domain, capacity, isSenior: isSenior === true, state: known },
-    ...{ utilisation: busy / BUSY_STEPS, pollers: askers / ASKER_STEPS },
+    ...{ domain, capacity, isSenior: isSenior === true, state: decodedState },
+    ...{ utilisation: utilisation / UTILISATION_STEPS, pollers: pollers / POLLER_STEPS },
   };
 }
 
@@ -214,10 +208,10 @@
 const PRESENCE_LENGTH = 3;
 
 /** Presences in one answer, so that it stays below what a network carries in one piece. */
-const MOST_PRESENCES = 64;
+const MAX_PRESENCES = 64;
 
 /** Reads a reading; undefined when it makes no sense, null when none is told. */
-function decodeReading(value: unknown): StoreRead | null | undefined {
+function decodeStoreRead(value: unknown): StoreRead | null | undefined {
   if (value === null) return null;
   if (!Array.isArray(value) || !isNumbers(value) || value.length !== 2) return undefined;
   const [reader = 0, age = 0] = value;
@@ -237,50 +231,58 @@
   return presences;
 }
 
-function isTexts(values: readonly unknown[]): values is readonly string[] {
+function isStrings(values: readonly unknown[]): values is readonly string[] {
   return values.every((value) => typeof value === 'string');
 }
 
 /** Reads cases; undefined when one makes no sense. */
-function decodeCases(values: unknown): readonly PoisonReport[] | undefined {
+function decodePoisonReports(values: unknown): readonly PoisonReport[] | undefined {
   if (!Array.isArray(values)) return undefined;
-  const cases: PoisonReport[] = [];
+  const reports: PoisonReport[] = [];
   for (const value of values as readonly unknown[]) {
     if (!Array.isArray(value)) return undefined;
     const [request, age, ended, releases] = value as readonly unknown[];
     if (typeof request !== 'string' || typeof age !== 'number' || !(age >= 0)) return undefined;
     if (!Array.isArray(ended) || !isNumbers(ended)) return undefined;
-    if (!Array.isArray(releases) || !isTexts(releases)) return undefined;
-    cases.push({ request, age, ended, releases });
+    if (!Array.isArray(releases) || !isStrings(releases)) return undefined;
+    reports.push({ request, age, ended, releases });
   }
-  return cases;
+  return reports;
 }
 
-const SHARE_LENGTH = 4;
+const LOAD_REPORT_LENGTH = 4;
 
-function decodeTell(fields: readonly unknown[]): Datagram | undefined {
+function decodeReply(fields: readonly unknown[]): Datagram | undefined {
   const self = decodeSelf(fields);
   const [targets, configuration, proofAge, ...rest] = fields.slice(SELF_LENGTH);
-  const [knownTargets, members, homes, told, heard, blamed] = rest;
+  const [
+    knownTargets,
+    membersFingerprint,
+    desiredHomes,
+    encodedRead,
+    encodedPresences,
+    encodedReports,
+  ] = rest;
   const [evacuations, knownOperators] = rest.slice(6);
   const numbers = [
-    ...[targets, configuration, knownTargets, members, homes],
+    ...[targets, configuration, knownTargets, membersFingerprint, desiredHomes],
     ...[evacuations, knownOperators],
   ];
   if (self === undefined || !isNumbers(numbers) || !isAge(proofAge)) return undefined;
-  const reading = decodeReading(told);
-  const presences = decodePresences(heard);
-  const cases = decodeCases(blamed);
-  if (reading === undefined || presences === undefined || cases === undefined) return undefined;
+  const lastRead = decodeStoreRead(encodedRead);
+  const presences = decodePresences(encodedPresences);
+  const poisonReports = decodePoisonReports(encodedReports);
+  if (lastRead === undefined || presences === undefined || poisonReports === undefined)
+    return undefined;
   return {
     ...{ kind: 'tell', self },
     knowledge: {
       position: { targets: numbers[0], configuration: numbers[1], evacuations: numbers[5] },
       ...{
         proofAge: proofAge ?? Infinity,
-        lastRead: reading ?? undefined,
+        lastRead: lastRead ?? undefined,
         presences,
-        poisonReports: cases,
+        poisonReports,
       },
       known: { targets: numbers[2], operators: numbers[6] },
       ...{ membersFingerprint: numbers[3], desiredHomes: numbers[4] },
@@ -288,37 +290,43 @@
   };
 }
 
-const NAMED_LENGTH = 3;
+const ADVERTISED_RATE_LENGTH = 3;
 
 /** Reads the rates that shares name, by the place of the share; undefined when one makes no sense. */
-function decodeNamed(
+function decodeAdvertisedRates(
   fields: readonly unknown[],
 ): ReadonlyMap<number, AdvertisedRateReport> | undefined {
-  const named = new Map<number, AdvertisedRateReport>();
-  if (fields.length % NAMED_LENGTH !== 0) return undefined;
-  for (let at = 0; at < fields.length; at += NAMED_LENGTH) {
-    const [index, rate, age] = fields.slice(at, at + NAMED_LENGTH);
+  const rates = new Map<number, AdvertisedRateReport>();
+  if (fields.length % ADVERTISED_RATE_LENGTH !== 0) return undefined;
+  for (let at = 0; at < fields.length; at += ADVERTISED_RATE_LENGTH) {
+    const [index, rate, age] = fields.slice(at, at + ADVERTISED_RATE_LENGTH);
     if (typeof index !== 'number' || typeof age !== 'number' || !(age >= 0)) return undefined;
     if (rate !== null && (typeof rate !== 'number' || !(rate >= 0))) return undefined;
-    named.set(index, { rate: rate ?? undefined, age });
+    rates.set(index, { rate: rate ?? undefined, age });
   }
-  return named;
+  return rates;
 }
 
 function decodeLoad(fields: readonly unknown[]): Datagram | undefined {
   const last = fields.at(-1);
   const numbers = Array.isArray(last) ? fields.slice(0, -1) : fields;
-  const named = decodeNamed(Array.isArray(last) ? last : []);
-  if (numbers.length % SHARE_LENGTH !== 0 || !isNumbers(numbers)) return undefined;
-  if (named === undefined) return undefined;
-  const shares: TargetLoadReport[] = [];
-  for (let at = 0; at < numbers.length; at += SHARE_LENGTH) {
-    const [target, inFlight, steps, age] = numbers.slice(at, at + SHARE_LENGTH);
+  const rates = decodeAdvertisedRates(Array.isArray(last) ? last : []);
+  if (numbers.length % LOAD_REPORT_LENGTH !== 0 || !isNumbers(numbers)) return undefined;
+  if (rates === undefined) return undefined;
+  const loadReports: TargetLoadReport[] = [];
+  for (let at = 0; at < numbers.length; at += LOAD_REPORT_LENGTH) {
+    const [target, inFlight, steps, age] = numbers.slice(at, at + LOAD_REPORT_LENGTH);
     const slowdown = steps === 0 ? undefined : steps / SLOWDOWN_STEPS;
-    const told = named.get(shares.length);
-    shares.push({ target, inFlight, slowdown, age, ...(told && { advertisedRate: told }) });
+    const advertisedRate = rates.get(loadReports.length);
+    loadReports.push({
+      target,
+      inFlight,
+      slowdown,
+      age,
+      ...(advertisedRate && { advertisedRate }),
+    });
   }
-  return { kind: 'load', loadReports: shares };
+  return { kind: 'load', loadReports };
 }
 
 function decodeDraining(fields: readonly unknown[]): Datagram | undefined {
@@ -343,19 +351,20 @@
   if (!Array.isArray(value)) return undefined;
   const [kind, ...fields] = value as readonly unknown[];
   switch (kind) {
-    case ASK: {
+    case POLL: {
       const self = decodeSelf(fields);
-      const asked = fields[SELF_LENGTH];
-      if (self === undefined || typeof asked !== 'number' || !(asked >= 1)) return undefined;
-      return { kind: 'ask', self, asked };
+      const polledCount = fields[SELF_LENGTH];
+      if (self === undefined || typeof polledCount !== 'number' || !(polledCount >= 1))
+        return undefined;
+      return { kind: 'ask', self, polledCount };
     }
-    case TELL:
-      return decodeTell(fields);
+    case REPLY:
+      return decodeReply(fields);
     case LOAD:
       return decodeLoad(fields);
-    case CASES: {
-      const cases = decodeCases(fields);
-      return cases && { kind: 'cases', poisonReports: cases };
+    case POISON: {
+      const poisonReports = decodePoisonReports(fields);
+      return poisonReports && { kind: 'cases', poisonReports };
     }
     case DRAINING:
       return decodeDraining(fields);
--- a/src/peering/feed.ts
+++ b/src/peering/feed.ts
@@ -32,39 +32,39 @@
   return typeof value === 'number' && Number.isFinite(value);
 }
 
-function isText(value: unknown): value is string {
+function isString(value: unknown): value is string {
   return typeof value === 'string';
 }
 
-function isRecord(value: unknown): value is TargetRecord {
+function isTargetRecord(value: unknown): value is TargetRecord {
   if (!isJsonObject(value) || !isJsonObject(value.address)) return false;
   const { incarnation, service, domain, slots, state, coldLeft, born, address, release } = value;
-  if (release !== undefined && !isText(release)) return false;
-  const isNamed = [incarnation, service, domain, address.host].every(isText);
+  if (release !== undefined && !isString(release)) return false;
+  const isNamed = [incarnation, service, domain, address.host].every(isString);
   const isCounted = [slots, coldLeft, born, address.port].every(isNumber);
   return isNamed && isCounted && (state === 'ready' || state === 'draining');
 }
 
-function isListed(value: unknown): value is ViewDelta['targets'][number] {
-  return isJsonObject(value) && isNumber(value.revision) && isRecord(value.record);
+function isTargetChange(value: unknown): value is ViewDelta['targets'][number] {
+  return isJsonObject(value) && isNumber(value.revision) && isTargetRecord(value.record);
 }
 
-function isLeft(value: unknown): value is RemovedTarget {
-  return isJsonObject(value) && isText(value.incarnation) && isNumber(value.revision);
+function isRemovedTarget(value: unknown): value is RemovedTarget {
+  return isJsonObject(value) && isString(value.incarnation) && isNumber(value.revision);
 }
 
-function isMember(value: unknown): value is MemberInfo {
+function isMemberInfo(value: unknown): value is MemberInfo {
   if (!isJsonObject(value) || typeof value.isSenior !== 'boolean') return false;
-  return isText(value.ip) && isText(value.domain) && isNumber(value.capacity);
+  return isString(value.ip) && isString(value.domain) && isNumber(value.capacity);
 }
 
 function isConfiguration(value: unknown): value is NonNullable<ViewDelta['configuration']> {
-  return isJsonObject(value) && isText(value.text) && isNumber(value.revision);
+  return isJsonObject(value) && isString(value.text) && isNumber(value.revision);
 }
 
 function isEvacuations(value: unknown): value is Evacuations {
   if (!isJsonObject(value) || !Array.isArray(value.domains)) return false;
-  return isNumber(value.revision) && value.domains.every(isText);
+  return isNumber(value.revision) && value.domains.every(isString);
 }
 
 function isPosition(value: unknown): value is ViewPosition {
@@ -78,65 +78,70 @@
   if (configuration !== undefined && !isConfiguration(configuration)) return false;
   if (evacuations !== undefined && !isEvacuations(evacuations)) return false;
   if (!Array.isArray(targets) || !Array.isArray(left) || typeof isWhole !== 'boolean') return false;
-  return targets.every(isListed) && left.every(isLeft);
+  return targets.every(isTargetChange) && left.every(isRemovedTarget);
 }
 
 /** Reads a feed's answer; undefined when any part of it makes no sense, so that none of it is taken. */
 export function parseFeedResponse(value: unknown): FeedResponse | undefined {
   if (!isJsonObject(value) || !isDelta(value.delta) || !Array.isArray(value.members))
     return undefined;
-  return value.members.every(isMember) ? { delta: value.delta, members: value.members } : undefined;
+  return value.members.every(isMemberInfo)
+    ? { delta: value.delta, members: value.members }
+    : undefined;
 }
 
 /** Longest wait for a feed; another daemon, or the store, is asked after it. */
-const TIMEOUT = 600;
+const FETCH_TIMEOUT_MS = 600;
 
 /**
  * While this many daemons are asked, nobody else is for a moment. One may be frozen or cut off just then,
  * so a second one is asked at once; more would only carry the same bytes.
  */
-const ASKED_AT_ONCE = 2;
+const MAX_CONCURRENT_FETCHES = 2;
 
 /** One that knows nothing yet gets the whole fleet's list, hundreds of kilobytes; it asks one at a time. */
-const FIRST_ASKED_AT_ONCE = 1;
-const PATIENCE = 150;
+const MAX_CONCURRENT_FULL_FETCHES = 1;
+const EXTRA_FETCH_DELAY_MS = 150;
 
 /**
  * Many daemons that start at once change the members all the time. One that starts asks soon again,
  * and each time later, as what it still misses becomes less.
  */
-const FIRST_MEMBERS_PACE = 50;
-const LAST_MEMBERS_PACE = 2000;
+const MIN_MEMBERS_INTERVAL_MS = 50;
+const MAX_MEMBERS_INTERVAL_MS = 2000;
 
 /**
  * Answers from this length on are packed: a drawn list of 503 targets takes 102 KB as text and 14 KB packed. Machines
  * with a few Mbit/s get it sooner, and bytes between failure domains are paid for.
  */
-const PACKED_FROM = 2048;
+const MIN_COMPRESSED_BYTES = 2048;
 
 const PATH = '/feed';
 
-const startGzip = promisify(gzip);
+const compress = promisify(gzip);
 
-async function sendAnswer(response: http.ServerResponse, answer: FeedResponse): Promise<void> {
-  const body = Buffer.from(JSON.stringify(answer));
-  if (body.length < PACKED_FROM) {
+async function sendResponse(
+  response: http.ServerResponse,
+  feedResponse: FeedResponse,
+): Promise<void> {
+  const body = Buffer.from(JSON.stringify(feedResponse));
+  if (body.length < MIN_COMPRESSED_BYTES) {
     response.writeHead(200, { 'content-length': body.length });
     response.end(body);
     return;
   }
-  const packed = await startGzip(body, { level: constants.Z_BEST_SPEED });
+  const compressed = await compress(body, { level: constants.Z_BEST_SPEED });
   response.writeHead(200, {
-    'content-length': packed.length,
+    'content-length': compressed.length,
     'content-encoding': PEER_CONTENT_ENCODING,
   });
-  response.end(packed);
+  response.end(compressed);
 }
 
 /** Starts to answer the feeds of others. */
 export function serveFeed(
   address: Address,
-  answer: (question: FeedRequest) => FeedResponse,
+  answer: (request: FeedRequest) => FeedResponse,
 ): Promise<http.Server> {
   const server = http.createServer({ keepAliveTimeout: 30_000 }, (request, response) => {
     const url = parseRequestUrl(request.url);
@@ -144,18 +149,18 @@
       response.writeHead(400).end();
       return;
     }
-    const read = (name: string) => Number(url.searchParams.get(name) ?? 0);
+    const readParameter = (name: string) => Number(url.searchParams.get(name) ?? 0);
     const position = {
-      ...{ targets: read('targets'), configuration: read('configuration') },
-      evacuations: read('evacuations'),
+      ...{ targets: readParameter('targets'), configuration: readParameter('configuration') },
+      evacuations: readParameter('evacuations'),
     };
-    const members = read('members');
+    const members = readParameter('members');
     const isReadable = [...Object.values(position), members].every((it) => !Number.isNaN(it));
     if (url.pathname !== PATH || !isReadable) {
       response.writeHead(404).end();
       return;
     }
-    sendAnswer(response, answer({ position, members })).catch(() => response.destroy());
+    sendResponse(response, answer({ position, members })).catch(() => response.destroy());
   });
   return new Promise((resolve, reject) => {
     server.once('error', reject);
@@ -167,56 +172,58 @@
 export class FeedClient {
   readonly #agent = new http.Agent({ keepAlive: true, maxSockets: 1, timeout: 5000 });
 
-  readonly #fetching = new Set<string>();
+  readonly #inFlight = new Set<string>();
 
-  #startedAt = -Infinity;
+  #lastStartedAt = -Infinity;
 
-  #membersAt = -Infinity;
+  #membersFetchedAt = -Infinity;
 
-  #membersPace = FIRST_MEMBERS_PACE;
+  #membersInterval = MIN_MEMBERS_INTERVAL_MS;
 
   constructor(
     private readonly clock: Clock,
     private readonly port: number,
-    private readonly take: (answer: FeedResponse) => void,
+    private readonly onResponse: (response: FeedResponse) => void,
   ) {}
 
   /** Fetches the members that another daemon knows, unless that was done of late. */
-  async fetchMembers(ip: string, question: FeedRequest): Promise<void> {
+  async fetchMembers(ip: string, request: FeedRequest): Promise<void> {
     const now = this.clock.now();
-    if (now - this.#membersAt < this.#membersPace) return;
-    this.#membersAt = now;
-    this.#membersPace = Math.min(LAST_MEMBERS_PACE, this.#membersPace * 2);
-    await this.#fetch(ip, question);
+    if (now - this.#membersFetchedAt < this.#membersInterval) return;
+    this.#membersFetchedAt = now;
+    this.#membersInterval = Math.min(MAX_MEMBERS_INTERVAL_MS, this.#membersInterval * 2);
+    await this.#fetch(ip, request);
   }
 
   /** Fetches what changed after a position, unless that is under way already. */
-  async fetchChanges(ip: string, question: FeedRequest): Promise<boolean> {
+  async fetchChanges(ip: string, request: FeedRequest): Promise<boolean> {
     const now = this.clock.now();
-    const most = question.position.targets === 0 ? FIRST_ASKED_AT_ONCE : ASKED_AT_ONCE;
-    const isAsked = this.#fetching.size >= most && now - this.#startedAt < PATIENCE;
-    if (isAsked || this.#fetching.has(ip)) return false;
-    this.#startedAt = now;
-    return this.#fetch(ip, question);
+    const maxConcurrent =
+      request.position.targets === 0 ? MAX_CONCURRENT_FULL_FETCHES : MAX_CONCURRENT_FETCHES;
+    const isAtLimit =
+      this.#inFlight.size >= maxConcurrent && now - this.#lastStartedAt < EXTRA_FETCH_DELAY_MS;
+    if (isAtLimit || this.#inFlight.has(ip)) return false;
+    this.#lastStartedAt = now;
+    return this.#fetch(ip, request);
   }
 
   async #fetch(ip: string, { position, members }: FeedRequest): Promise<boolean> {
-    if (this.#fetching.has(ip)) return false;
-    this.#fetching.add(ip);
+    if (this.#inFlight.has(ip)) return false;
+    this.#inFlight.add(ip);
     const query = Object.entries({ ...position, members }).map(([name, it]) => `${name}=${it}`);
     try {
       const reply = await exchangeHttp({
         ...{ agent: this.#agent, address: { host: ip, port: this.port }, method: 'GET' },
         path: `${PATH}?${query.join('&')}`,
-        timeout: TIMEOUT,
+        timeout: FETCH_TIMEOUT_MS,
       });
       if (reply.kind !== 'reply' || reply.status !== 200) return false;
-      const answer = parseFeedResponse(reply.body);
-      if (answer === undefined) return false;
-      this.take(answer);
+      const response = parseFeedResponse(reply.body);
+      if (response === undefined) return false;
+      this.onResponse(response);
       return true;
     } finally {
-      this.#fetching.delete(ip);
+      this.#inFlight.delete(ip);
     }
   }
 
--- a/src/peering/home-scaler.ts
+++ b/src/peering/home-scaler.ts
@@ -24,23 +24,23 @@
 export const HIGH_UTILISATION = 0.6;
 
 /** One home fewer would still leave the others less busy than that. */
-const IDLE = 0.2;
+const LOW_UTILISATION = 0.2;
 
 /** Homes after a change, as a multiple of those before it. */
-const GROWTH = 1.5;
+const GROWTH_FACTOR = 1.5;
 
 /** Callers that hold an answer move within this time; until then a change does not show, in milliseconds. */
-const SETTLE_TIME = 6000;
+const SETTLE_TIME_MS = 6000;
 
 /** The load has to be low for this long before there are fewer homes, as callers must move again. */
-const IDLE_TIME = 15_000;
+const SCALE_DOWN_DELAY_MS = 15_000;
 
 /** The part of all cores that is at work: a weak home that is full says little of the others. */
-function measureMean(homes: readonly HomeUtilisation[]): number {
+function computeMeanUtilisation(homes: readonly HomeUtilisation[]): number {
   let work = 0;
   let cores = 0;
-  for (const { utilisation: busy, capacity } of homes) {
-    work += busy * capacity;
+  for (const { utilisation, capacity } of homes) {
+    work += utilisation * capacity;
     cores += capacity;
   }
   return cores > 0 ? work / cores : 0;
@@ -50,18 +50,18 @@
 export class HomeScaler {
   #changedAt = -Infinity;
 
-  #busyAt = -Infinity;
+  #lastLoadedAt = -Infinity;
 
   /** Returns how many homes there should be. */
-  plan({ homes, minHomes: least, utilisations: busy, now }: HomeScalerInput): number {
-    const mean = measureMean(busy);
-    if (mean >= IDLE) this.#busyAt = now;
-    if (mean >= HIGH_UTILISATION && now - this.#changedAt >= SETTLE_TIME) {
+  plan({ homes, minHomes, utilisations, now }: HomeScalerInput): number {
+    const mean = computeMeanUtilisation(utilisations);
+    if (mean >= LOW_UTILISATION) this.#lastLoadedAt = now;
+    if (mean >= HIGH_UTILISATION && now - this.#changedAt >= SETTLE_TIME_MS) {
       this.#changedAt = now;
-      return Math.ceil(homes * GROWTH);
+      return Math.ceil(homes * GROWTH_FACTOR);
     }
-    if (homes <= least || now - this.#busyAt < IDLE_TIME) return homes;
-    if (now - this.#changedAt < IDLE_TIME) return homes;
+    if (homes <= minHomes || now - this.#lastLoadedAt < SCALE_DOWN_DELAY_MS) return homes;
+    if (now - this.#changedAt < SCALE_DOWN_DELAY_MS) return homes;
     this.#changedAt = now;
     return homes - 1;
   }
--- a/src/peering/member-registry.ts
+++ b/src/peering/member-registry.ts
@@ -22,13 +22,13 @@
   readonly onFound: (ips: readonly string[]) => void;
 }
 
-const PACE = 1000;
+const CHECK_INTERVAL_MS = 1000;
 
 /** Members have to be the same for this many rounds before they are written: many start at once. */
-const STEADY_ROUNDS = 3;
+const MIN_STABLE_ROUNDS = 3;
 
 /** Rounds between two looks of a daemon that knows nobody else. */
-const LONELY_ROUNDS = 2;
+const LOOKUP_ROUNDS = 2;
 
 interface WrittenMembers {
   readonly members: readonly string[];
@@ -49,39 +49,39 @@
 
   #lastText = '';
 
-  #steady = 0;
+  #stableRounds = 0;
 
   constructor(private readonly options: MemberRegistryOptions) {}
 
   /** Reads and writes until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, roster, isWriter, isFirstStart } = this.options;
-    if (!isFirstStart) await this.#look();
+    if (!isFirstStart) await this.#readList();
     for (let round = 1; !signal.aborted; round += 1) {
-      await clock.sleep(PACE, signal);
-      if (roster.size === 1 && round % LONELY_ROUNDS === 0) await this.#look();
-      if (!this.#isSteady() || !isWriter() || this.#lastText === this.#writtenText) continue;
-      await this.#write(this.#lastText);
+      await clock.sleep(CHECK_INTERVAL_MS, signal);
+      if (roster.size === 1 && round % LOOKUP_ROUNDS === 0) await this.#readList();
+      if (!this.#checkStable() || !isWriter() || this.#lastText === this.#writtenText) continue;
+      await this.#writeList(this.#lastText);
     }
   }
 
-  async #look(): Promise<void> {
+  async #readList(): Promise<void> {
     const answer = await this.options.store.readItem(KEYS.members, true);
     if (answer.kind === 'item') this.options.onFound(parseMembers(answer.item.text));
   }
 
-  #isSteady(): boolean {
+  #checkStable(): boolean {
     const members = this.options.roster
       .list()
       .map(({ ip }) => ip)
       .sort();
     const text = JSON.stringify({ members } satisfies WrittenMembers);
-    this.#steady = text === this.#lastText ? this.#steady + 1 : 0;
+    this.#stableRounds = text === this.#lastText ? this.#stableRounds + 1 : 0;
     this.#lastText = text;
-    return this.#steady >= STEADY_ROUNDS;
+    return this.#stableRounds >= MIN_STABLE_ROUNDS;
   }
 
-  async #write(text: string): Promise<void> {
+  async #writeList(text: string): Promise<void> {
     const { store, log } = this.options;
     const current = await store.readItem(KEYS.members, false);
     if (current.kind !== 'item' && current.kind !== 'absent') return;
--- a/src/peering/peer-link.ts
+++ b/src/peering/peer-link.ts
@@ -34,92 +34,91 @@
   /** Called with what another daemon knows, as of the moment when it was asked. */
   readonly onKnowledge: (from: MemberInfo, knowledge: Knowledge) => void;
   /** Called with what another home knows of targets. */
-  readonly onLoadReports: (from: string, shares: readonly TargetLoadReport[]) => void;
+  readonly onLoadReports: (from: string, reports: readonly TargetLoadReport[]) => void;
   /** Called with targets that drain, as another daemon was told by them. */
-  readonly onDrainingReports: (from: string, targets: readonly DrainingReport[]) => void;
+  readonly onDrainingReports: (from: string, reports: readonly DrainingReport[]) => void;
   /** Called with what another daemon tells of requests under which targets ended. */
-  readonly onPoisonReports: (from: string, cases: readonly PoisonReport[]) => void;
+  readonly onPoisonReports: (from: string, reports: readonly PoisonReport[]) => void;
 }
 
 /** How often one of the daemons in the settings or the store that never answered is asked, in turn. */
-const SEED_PACE = 1000;
+const SEED_POLL_INTERVAL_MS = 1000;
 
 /**
  * Of those a daemon to which nobody has answered yet asks this many in a round. The store names the whole
  * fleet, and after a loss of power half of it may be looking for the other half.
  */
-const MOST_SEEDS = 4;
+const MAX_SEEDS_PER_ROUND = 4;
 
 /**
  * A daemon that has just started asks all that it knows of this often, for as long as others that were
  * started with it may still be coming up. Until it knows them, callers are told of it alone.
  */
-const FIRST_PACE = 100;
-const FIRST_TIME = 2000;
+const START_POLL_INTERVAL_MS = 100;
+const START_PHASE_MS = 2000;
 
 /** A silent daemon is looked for among all those known this often. */
-const FORGET_PACE = 10_000;
+const FORGET_INTERVAL_MS = 10_000;
 
 /** The datagram socket of one daemon. */
 export class PeerLink {
   readonly #socket = dgram.createSocket('udp4');
 
   /** When each daemon was last asked, to know how old its answer is at most. */
-  readonly #askedAt = new Map<string, number>();
+  readonly #polledAt = new Map<string, number>();
 
   /** Who asked of late, to be told at once when this daemon stops, and how many others it asks as well. */
-  readonly #askers = new Map<string, { readonly at: number; readonly asked: number }>();
+  readonly #pollers = new Map<string, { readonly at: number; readonly polledCount: number }>();
 
   /** Those that never answered, the next to be asked first. */
   #seeds: readonly string[] = [];
 
   /** Whether anybody has answered since the start. */
-  #isAnswered = false;
+  #hasReply = false;
 
   /** How many this daemon asks, itself included. */
-  #asked = 1;
+  #polledCount = 1;
 
   constructor(private readonly options: PeerLinkOptions) {}
 
   /** Opens the socket and asks until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const { address, clock, roster, log } = this.options;
-    this.#socket.on('message', (message, from) => this.#take(message, from.address));
+    this.#socket.on('message', (message, from) => this.#receive(message, from.address));
     this.#socket.on('error', (error) => log.warn('peer.socket', { error: error.message }));
     await new Promise<void>((resolve) => {
       this.#socket.bind(address.port, address.host, resolve);
     });
     const startedAt = clock.now();
-    let seedsAt = -Infinity;
-    let forgetAt = clock.now() + FORGET_PACE;
+    let seedsPolledAt = -Infinity;
+    let forgetAt = clock.now() + FORGET_INTERVAL_MS;
     while (!signal.aborted) {
       const now = clock.now();
       roster.addMember(this.options.readSelf());
-      const isNew = now - startedAt < FIRST_TIME;
-      const listed = isNew ? roster.listToPoll(FIRST_PACE) : roster.listToPoll();
-      const asked = new Set(listed.map(({ ip }) => ip));
-      this.#asked = asked.size + 1;
-      const isAlone = !this.#isAnswered;
-      if (isAlone || now - seedsAt >= SEED_PACE) {
-        seedsAt = now;
-        for (const seed of this.#takeSeeds(isAlone ? MOST_SEEDS : 1)) asked.add(seed);
+      const isStarting = now - startedAt < START_PHASE_MS;
+      const listed = isStarting ? roster.listToPoll(START_POLL_INTERVAL_MS) : roster.listToPoll();
+      const polled = new Set(listed.map(({ ip }) => ip));
+      this.#polledCount = polled.size + 1;
+      const isAlone = !this.#hasReply;
+      if (isAlone || now - seedsPolledAt >= SEED_POLL_INTERVAL_MS) {
+        seedsPolledAt = now;
+        for (const seed of this.#rotateSeeds(isAlone ? MAX_SEEDS_PER_ROUND : 1)) polled.add(seed);
       }
       if (now >= forgetAt) {
-        forgetAt = now + FORGET_PACE;
+        forgetAt = now + FORGET_INTERVAL_MS;
         roster.forgetSilent(new Set(this.#seeds));
       }
-      for (const ip of asked) this.#ask(ip);
-      const { nearPollInterval: nearPace, remotePollInterval: remotePace } =
-        this.options.readTimes();
-      const pace = roster.isNearHomes() ? nearPace : remotePace;
-      await clock.sleep(isNew ? FIRST_PACE : pace, signal);
+      for (const ip of polled) this.#poll(ip);
+      const { nearPollInterval, remotePollInterval } = this.options.readTimes();
+      const interval = roster.isNearHomes() ? nearPollInterval : remotePollInterval;
+      await clock.sleep(isStarting ? START_POLL_INTERVAL_MS : interval, signal);
     }
     this.#socket.close();
   }
 
   /** Whether it has heard from another daemon, or knows of none. */
   get hasJoined(): boolean {
-    return this.#isAnswered || this.#seeds.length === 0;
+    return this.#hasReply || this.#seeds.length === 0;
   }
 
   /** Names daemons to ask until they answer. */
@@ -130,10 +129,10 @@
   }
 
   /** The next ones to ask; they go to the end of the line. */
-  #takeSeeds(count: number): readonly string[] {
-    const taken = this.#seeds.slice(0, count);
-    this.#seeds = [...this.#seeds.slice(count), ...taken];
-    return taken;
+  #rotateSeeds(count: number): readonly string[] {
+    const next = this.#seeds.slice(0, count);
+    this.#seeds = [...this.#seeds.slice(count), ...next];
+    return next;
   }
 
   /**
@@ -142,11 +141,11 @@
    */
   countPollers(): number {
     const now = this.options.clock.now();
-    let askers = 1 / this.#asked;
-    for (const { at, asked } of this.#askers.values()) {
-      if (now - at < ASKING) askers += 1 / asked;
+    let pollers = 1 / this.#polledCount;
+    for (const { at, polledCount } of this.#pollers.values()) {
+      if (now - at < POLLER_WINDOW_MS) pollers += 1 / polledCount;
     }
-    return askers;
+    return pollers;
   }
 
   /**
@@ -156,24 +155,25 @@
   countHomePollers(): number {
     const now = this.options.clock.now();
     const homes = new Set(this.options.roster.listHomes().map(({ ip }) => ip));
-    let lookers = homes.has(this.options.readSelf().ip) ? 1 / this.#asked : 0;
-    for (const [ip, { at, asked }] of this.#askers) {
-      if (now - at < ASKING) lookers += 1 / (homes.has(ip) ? asked : Math.max(1, asked - 1));
+    let pollers = homes.has(this.options.readSelf().ip) ? 1 / this.#polledCount : 0;
+    for (const [ip, { at, polledCount }] of this.#pollers) {
+      if (now - at < POLLER_WINDOW_MS)
+        pollers += 1 / (homes.has(ip) ? polledCount : Math.max(1, polledCount - 1));
     }
-    return lookers;
+    return pollers;
   }
 
   /** Tells everybody who asked of late how things are now, without being asked. */
   pushToPollers(): void {
     const now = this.options.clock.now();
-    for (const [ip, { at }] of this.#askers) {
-      if (now - at < ASKER_LIFE) this.#tell(ip);
+    for (const [ip, { at }] of this.#pollers) {
+      if (now - at < PUSH_WINDOW_MS) this.#answer(ip);
     }
   }
 
   /** Tells another home what this one knows of targets. */
-  sendLoadReports(ip: string, shares: readonly TargetLoadReport[]): void {
-    this.#send(ip, { kind: 'load', loadReports: shares });
+  sendLoadReports(ip: string, loadReports: readonly TargetLoadReport[]): void {
+    this.#send(ip, { kind: 'load', loadReports });
   }
 
   /** Tells another daemon of targets that drain. */
@@ -182,24 +182,28 @@
   }
 
   /** Tells another daemon of requests under which targets ended. */
-  sendPoisonReports(ip: string, cases: readonly PoisonReport[]): void {
-    this.#send(ip, { kind: 'cases', poisonReports: cases });
+  sendPoisonReports(ip: string, poisonReports: readonly PoisonReport[]): void {
+    this.#send(ip, { kind: 'cases', poisonReports });
   }
 
   #describeSelf(): SelfStatus {
     const { domain, capacity, isSenior } = this.options.readSelf();
-    const { readSelfState: selfState, readUtilisation: readBusy } = this.options;
-    const word = { state: selfState(), utilisation: readBusy(), pollers: this.countPollers() };
-    return { domain, capacity, isSenior, ...word };
+    const { readSelfState, readUtilisation } = this.options;
+    const status = {
+      state: readSelfState(),
+      utilisation: readUtilisation(),
+      pollers: this.countPollers(),
+    };
+    return { domain, capacity, isSenior, ...status };
   }
 
-  #ask(ip: string): void {
+  #poll(ip: string): void {
     if (ip === this.options.readSelf().ip) return;
-    this.#askedAt.set(ip, this.options.clock.now());
-    this.#send(ip, { kind: 'ask', self: this.#describeSelf(), asked: this.#asked });
+    this.#polledAt.set(ip, this.options.clock.now());
+    this.#send(ip, { kind: 'ask', self: this.#describeSelf(), polledCount: this.#polledCount });
   }
 
-  #tell(ip: string): void {
+  #answer(ip: string): void {
     const knowledge = this.options.readKnowledge();
     this.#send(ip, { kind: 'tell', self: this.#describeSelf(), knowledge });
   }
@@ -211,58 +215,52 @@
     });
   }
 
-  #take(bytes: Uint8Array, ip: string): void {
-    const {
-      roster,
-      clock,
-      onKnowledge,
-      onLoadReports: onShares,
-      onPoisonReports: onCases,
-      onDrainingReports: onDraining,
-    } = this.options;
+  #receive(bytes: Uint8Array, ip: string): void {
+    const { roster, clock, onKnowledge, onLoadReports, onPoisonReports, onDrainingReports } =
+      this.options;
     const datagram = decodeDatagram(bytes);
     if (datagram === undefined) return;
     if (datagram.kind === 'load') {
-      onShares(ip, datagram.loadReports);
+      onLoadReports(ip, datagram.loadReports);
       return;
     }
     if (datagram.kind === 'cases') {
-      onCases(ip, datagram.poisonReports);
+      onPoisonReports(ip, datagram.poisonReports);
       return;
     }
     if (datagram.kind === 'draining') {
-      onDraining(ip, datagram.targets);
+      onDrainingReports(ip, datagram.targets);
       return;
     }
     const { domain, capacity, isSenior } = datagram.self;
     const info = { ip, domain, capacity, isSenior };
     if (datagram.kind === 'ask') {
       roster.addMember(info);
-      this.#askers.set(ip, { at: clock.now(), asked: datagram.asked });
-      this.#tell(ip);
+      this.#pollers.set(ip, { at: clock.now(), polledCount: datagram.polledCount });
+      this.#answer(ip);
       return;
     }
     roster.recordStatus(info, datagram.self);
-    this.#isAnswered = true;
+    this.#hasReply = true;
     if (this.#seeds.includes(ip)) this.#seeds = this.#seeds.filter((seed) => seed !== ip);
     // The answer may have been on its way since the question was sent.
-    const travelled = clock.now() - (this.#askedAt.get(ip) ?? clock.now());
+    const elapsed = clock.now() - (this.#polledAt.get(ip) ?? clock.now());
     const { knowledge } = datagram;
-    const { lastRead: reading, presences } = knowledge;
-    if (knowledge.poisonReports.length > 0) onCases(ip, knowledge.poisonReports);
+    const { lastRead, presences } = knowledge;
+    if (knowledge.poisonReports.length > 0) onPoisonReports(ip, knowledge.poisonReports);
     for (const presence of presences) {
-      roster.mergePresence({ ...presence, age: presence.age + travelled });
+      roster.mergePresence({ ...presence, age: presence.age + elapsed });
     }
     onKnowledge(info, {
       ...knowledge,
-      proofAge: knowledge.proofAge + travelled,
-      lastRead: reading && { ...reading, age: reading.age + travelled },
+      proofAge: knowledge.proofAge + elapsed,
+      lastRead: lastRead && { ...lastRead, age: lastRead.age + elapsed },
     });
   }
 }
 
 /** Who has not asked for this long does not wait for news. */
-const ASKER_LIFE = 3000;
+const PUSH_WINDOW_MS = 3000;
 
 /** Who looks to this daemon has asked it within this time: some questions, as datagrams get lost. */
-const ASKING = 1200;
+const POLLER_WINDOW_MS = 1200;
--- a/src/peering/reader-role.ts
+++ b/src/peering/reader-role.ts
@@ -12,7 +12,7 @@
  * A daemon that has just begun to serve knows of nobody else who does, and takes itself for a first home, until it
  * has asked some times, each time after 100 ms. Daemons that start together would all watch for nothing.
  */
-const HEARING_TIME = 400;
+const DISCOVERY_TIME_MS = 400;
 
 /** Whose duty reading is. */
 export interface ReaderEligibility {
@@ -23,81 +23,85 @@
 }
 
 /** The last reading by another daemon. */
-interface ToldReading {
+interface RemoteRead {
   readonly reader: string;
   readonly at: number;
 }
 
 /** The duty of one daemon. */
 export class ReaderRole {
-  #told: ToldReading | undefined;
+  #lastRemoteRead: RemoteRead | undefined;
 
-  #toldAt: number;
+  #lastRemoteReadAt: number;
 
-  #servesSince = Infinity;
+  #servingSince = Infinity;
 
-  #heardAt = -Infinity;
+  #lastAnswerAt = -Infinity;
 
-  /** @param patience how long a daemon that starts waits to be told, in milliseconds */
+  /** @param startDelay how long a daemon that starts waits to be told, in milliseconds */
   constructor(
     private readonly clock: Clock,
-    private readonly place: ReaderEligibility,
+    private readonly eligibility: ReaderEligibility,
     private readonly readTimes: () => PropagationTimes,
-    patience = 0,
+    startDelay = 0,
   ) {
-    this.#toldAt = clock.now() - readTimes().nearMaxStaleness + patience;
+    this.#lastRemoteReadAt = clock.now() - readTimes().nearMaxStaleness + startDelay;
   }
 
   /** The last reading by another daemon that is known of; it may be passed on. */
-  get lastRemoteRead(): ToldReading | undefined {
-    return this.#told;
+  get lastRemoteRead(): RemoteRead | undefined {
+    return this.#lastRemoteRead;
   }
 
   /** Notes that another daemon had read the store itself at a moment, as it said or somebody passed on. */
   recordRemoteRead(reader: string, at: number): void {
-    if (at <= this.#toldAt) return;
-    this.#toldAt = at;
-    this.#told = { reader, at };
+    if (at <= this.#lastRemoteReadAt) return;
+    this.#lastRemoteReadAt = at;
+    this.#lastRemoteRead = { reader, at };
   }
 
   /** Notes that another daemon answered, whatever it knows. */
   recordAnswer(): void {
-    this.#heardAt = this.clock.now();
+    this.#lastAnswerAt = this.clock.now();
   }
 
   /** Notes that this daemon begins to serve. */
   recordServing(): void {
-    this.#servesSince = this.clock.now();
+    this.#servingSince = this.clock.now();
   }
 
   /** Whether this daemon reads now. */
   isReader(): boolean {
     const now = this.clock.now();
     if (this.getReadDelay() <= 0) return true;
-    return now - this.#servesSince >= HEARING_TIME && this.place.isDesignated();
+    return now - this.#servingSince >= DISCOVERY_TIME_MS && this.eligibility.isDesignated();
   }
 
   /** Time until this daemon reads for itself unless it is told of a reading, in milliseconds. */
   getReadDelay(): number {
-    const { nearMaxStaleness: nearStale, remoteMaxStaleness: remoteStale } = this.readTimes();
-    return this.#toldAt + (this.#isRemote() ? remoteStale : nearStale) - this.clock.now();
+    const { nearMaxStaleness, remoteMaxStaleness } = this.readTimes();
+    return (
+      this.#lastRemoteReadAt +
+      (this.#isRemote() ? remoteMaxStaleness : nearMaxStaleness) -
+      this.clock.now()
+    );
   }
 
   /** The longest pause after a call that the store did not answer, in milliseconds. */
   getMaxBackoff(): number {
-    const { maxBackoff: longestPause, maxRemoteBackoff: longestRemotePause } = this.readTimes();
-    return this.#isRemote() ? longestRemotePause : longestPause;
+    const { maxBackoff, maxRemoteBackoff } = this.readTimes();
+    return this.#isRemote() ? maxRemoteBackoff : maxBackoff;
   }
 
   /** Whether others are there that read before this daemon has to. */
   #isRemote(): boolean {
     const now = this.clock.now();
     if (
-      this.#servesSince === Infinity ||
-      now - this.#heardAt >= this.readTimes().nearMaxStaleness
+      this.#servingSince === Infinity ||
+      now - this.#lastAnswerAt >= this.readTimes().nearMaxStaleness
     ) {
       return false;
     }
-    return !this.place.isNearHomes();
+    return !this.eligibility.isNearHomes();
   }
 }
--- a/src/peering/roster.ts
+++ b/src/peering/roster.ts
@@ -50,17 +50,17 @@
   readonly capacity: number;
 }
 
-interface Member {
+interface MemberEntry {
   info: MemberInfo;
   state: MemberState;
-  busy: number;
-  askers: number;
+  utilisation: number;
+  pollers: number;
   /** When it last answered, here or to a daemon that passed that on. */
-  heardAt: number;
+  lastSeenAt: number;
   /** When it last answered here. */
-  answeredAt: number;
+  lastAnsweredAt: number;
   /** When it was last asked. */
-  askedAt: number;
+  lastPolledAt: number;
 }
 
 /** What the plan of homes needs to know. */
@@ -75,58 +75,58 @@
 }
 
 /** A daemon that has not answered for this long is not counted on: five questions, as datagrams get lost. */
-const SILENCE = 1200;
+const SILENCE_TIMEOUT_MS = 1200;
 
 /** Daemons asked besides the homes, so that a successor is known to be alive before it is needed. */
-const SUCCESSORS = 2;
+const SUCCESSOR_COUNT = 2;
 
 /** How often a daemon that does not answer is asked again. */
-const ABSENT_PACE = 1000;
+const SILENT_POLL_INTERVAL_MS = 1000;
 
 /**
  * Daemons asked by one that is neither a home nor about to be: one may be lost without a gap in the news.
  * What they heard of the other homes they pass on, so a daemon's questions don't grow with the homes.
  */
-const INFORMANTS = 2;
+const REMOTE_POLL_COUNT = 2;
 
 /**
  * Of the daemons that don't serve yet, and of those that don't answer, this many are asked in a round. While a
  * whole fleet starts nobody serves; with everybody asked that makes 390,000 questions a second of 312 daemons.
  */
-const MOST_WAITING = 3;
-const MOST_ABSENT = 3;
+const MAX_STARTING_POLLED = 3;
+const MAX_SILENT_POLLED = 3;
 
 /** Daemons that never answered are forgotten after this long. */
-const FORGET_AFTER = 120_000;
+const FORGET_AFTER_MS = 120_000;
 
 /**
  * A home with less than this part of the strongest machine's cores costs the others more, in what they tell each other
  * and ask targets, than the calls that it takes from them.
  */
-const STRONG_PART = 0.5;
+const MIN_HOME_CAPACITY_RATIO = 0.5;
 
 /** Capacities within one step of each other are alike, so that small differences move no home. */
-const CAPACITY_STEP = 0.5;
+const CAPACITY_STEP_CORES = 0.5;
 
-function matchInfos(a: MemberInfo, b: MemberInfo): boolean {
+function isSameInfo(a: MemberInfo, b: MemberInfo): boolean {
   return a.domain === b.domain && a.capacity === b.capacity && a.isSenior === b.isSenior;
 }
 
 /** The daemons known. */
 export class Roster {
-  readonly #members = new Map<string, Member>();
+  readonly #members = new Map<string, MemberEntry>();
 
   /** Those that answered here of late. */
-  readonly #answering = new Set<Member>();
+  readonly #answering = new Set<MemberEntry>();
 
   #ranked: readonly MemberInfo[] | undefined;
 
-  #wanted = 0;
+  #plannedHomes = 0;
 
   #fingerprint = 0;
 
   /** Failure domains in which daemons are known. */
-  #domains = 0;
+  #domainCount = 0;
 
   constructor(private readonly options: RosterOptions) {
     this.addMember(options.self);
@@ -154,38 +154,35 @@
       this.#ranked = undefined;
       this.#fingerprint += hashMember(info.ip);
       this.#members.set(info.ip, {
-        ...{ info, state: 'starting', busy: 0, askers: 0 },
-        ...{ heardAt: -Infinity, answeredAt: -Infinity, askedAt: -Infinity },
+        ...{ info, state: 'starting', utilisation: 0, pollers: 0 },
+        ...{ lastSeenAt: -Infinity, lastAnsweredAt: -Infinity, lastPolledAt: -Infinity },
       });
       return;
     }
-    if (info.domain === '' || matchInfos(known.info, info)) return;
+    if (info.domain === '' || isSameInfo(known.info, info)) return;
     this.#ranked = undefined;
     known.info = info;
   }
 
   /** Learns that a daemon answered, and what it said of itself. */
-  recordStatus(
-    info: MemberInfo,
-    { state, utilisation: busy, pollers: askers }: MemberStatus,
-  ): void {
+  recordStatus(info: MemberInfo, { state, utilisation, pollers }: MemberStatus): void {
     this.addMember(info);
     const member = this.#members.get(info.ip);
     if (member === undefined) return;
-    member.heardAt = this.options.clock.now();
-    member.answeredAt = member.heardAt;
+    member.lastSeenAt = this.options.clock.now();
+    member.lastAnsweredAt = member.lastSeenAt;
     this.#answering.add(member);
     member.state = state;
-    member.busy = busy;
-    member.askers = askers;
+    member.utilisation = utilisation;
+    member.pollers = pollers;
   }
 
   /** Learns what another daemon heard; what was heard later, here or there, holds. */
   mergePresence({ ip, state, age }: Presence): void {
     const member = this.#members.get(ip);
-    const heardAt = this.options.clock.now() - age;
-    if (member === undefined || heardAt <= member.heardAt) return;
-    member.heardAt = heardAt;
+    const seenAt = this.options.clock.now() - age;
+    if (member === undefined || seenAt <= member.lastSeenAt) return;
+    member.lastSeenAt = seenAt;
     member.state = state;
   }
 
@@ -194,8 +191,8 @@
     const now = this.options.clock.now();
     const presences: Presence[] = [];
     for (const member of this.#answering) {
-      const age = now - member.answeredAt;
-      if (age > SILENCE) this.#answering.delete(member);
+      const age = now - member.lastAnsweredAt;
+      if (age > SILENCE_TIMEOUT_MS) this.#answering.delete(member);
       else presences.push({ ip: member.info.ip, state: member.state, age });
     }
     return presences;
@@ -207,34 +204,34 @@
    */
   get desiredHomes(): number {
     this.#rank();
-    return Math.max(this.options.minHomes, this.#wanted, this.#domains);
+    return Math.max(this.options.minHomes, this.#plannedHomes, this.#domainCount);
   }
 
   /** How many machines are strong enough to be planned as homes. */
   countHomeCandidates(): number {
     const capacities = this.list().map(({ capacity }) => capacity);
     const strongest = Math.max(...capacities);
-    return capacities.filter((capacity) => capacity >= STRONG_PART * strongest).length;
+    return capacities.filter((capacity) => capacity >= MIN_HOME_CAPACITY_RATIO * strongest).length;
   }
 
   /** Takes the plan of the first home. */
   setDesiredHomes(homes: number): void {
-    this.#wanted = homes;
+    this.#plannedHomes = homes;
   }
 
   /** How busy the other homes are, and of how many cores. */
   listHomeUtilisations(): readonly HomeUtilisation[] {
-    return this.#listOtherHomes().map(({ busy, info }) => ({
-      utilisation: busy,
+    return this.#listOtherHomes().map(({ utilisation, info }) => ({
+      utilisation,
       capacity: info.capacity,
     }));
   }
 
   /** How many daemons look to the other homes that answer here. */
   countPollersOfOtherHomes(): number {
-    const since = this.options.clock.now() - SILENCE;
+    const since = this.options.clock.now() - SILENCE_TIMEOUT_MS;
     return this.#listOtherHomes().reduce(
-      (sum, { askers, answeredAt }) => (answeredAt >= since ? sum + askers : sum),
+      (sum, { pollers, lastAnsweredAt }) => (lastAnsweredAt >= since ? sum + pollers : sum),
       0,
     );
   }
@@ -255,11 +252,11 @@
   /** Whether this daemon is a home or would be the next one: such know of each other at first hand. */
   isNearHomes(): boolean {
     let serving = 0;
-    const wanted = this.desiredHomes + SUCCESSORS;
+    const maxServing = this.desiredHomes + SUCCESSOR_COUNT;
     for (const info of this.#rank()) {
       if (info.ip === this.options.self.ip) return true;
       if (this.#isServing(info)) serving += 1;
-      if (serving >= wanted) return false;
+      if (serving >= maxServing) return false;
     }
     return false;
   }
@@ -268,50 +265,50 @@
    * Whom to ask now whether they are there. Homes and their successors ask one another; the others ask a
    * few of them, those of their own failure domain first, and hear from these of the rest.
    *
-   * @param absentPace time between two questions to one that does not answer, in milliseconds
+   * @param silentInterval time between two questions to one that does not answer, in milliseconds
    */
-  listToPoll(absentPace = ABSENT_PACE): readonly MemberInfo[] {
+  listToPoll(silentInterval = SILENT_POLL_INTERVAL_MS): readonly MemberInfo[] {
     const isNear = this.isNearHomes();
-    const wanted = isNear ? this.listHomes().length + SUCCESSORS : INFORMANTS;
+    const maxServing = isNear ? this.listHomes().length + SUCCESSOR_COUNT : REMOTE_POLL_COUNT;
     const now = this.options.clock.now();
-    const asked: MemberInfo[] = [];
+    const polled: MemberInfo[] = [];
     let serving = 0;
-    let waiting = 0;
-    let absent = 0;
-    for (const info of isNear ? this.#rank() : this.#listInformants()) {
-      if (serving >= wanted) break;
+    let starting = 0;
+    let silent = 0;
+    for (const info of isNear ? this.#rank() : this.#listPollCandidates()) {
+      if (serving >= maxServing) break;
       const member = this.#members.get(info.ip);
       if (member === undefined) continue;
       const isServing = this.#isServing(info);
       if (isServing) serving += 1;
       if (info.ip === this.options.self.ip) continue;
-      if (now - member.heardAt > SILENCE) {
-        if (absent >= MOST_ABSENT || now - member.askedAt < absentPace) continue;
-        absent += 1;
+      if (now - member.lastSeenAt > SILENCE_TIMEOUT_MS) {
+        if (silent >= MAX_SILENT_POLLED || now - member.lastPolledAt < silentInterval) continue;
+        silent += 1;
       } else if (!isServing) {
-        if (waiting >= MOST_WAITING) continue;
-        waiting += 1;
+        if (starting >= MAX_STARTING_POLLED) continue;
+        starting += 1;
       }
-      member.askedAt = now;
-      asked.push(info);
+      member.lastPolledAt = now;
+      polled.push(info);
     }
-    return asked;
+    return polled;
   }
 
   /** Forgets daemons that have not answered for long. @param keep those that stay all the same */
   forgetSilent(keep: ReadonlySet<string>): void {
     const now = this.options.clock.now();
-    for (const [ip, { heardAt, askedAt }] of this.#members) {
+    for (const [ip, { lastSeenAt, lastPolledAt }] of this.#members) {
       if (ip === this.options.self.ip || keep.has(ip)) continue;
-      if (askedAt === -Infinity || now - Math.max(heardAt, 0) < FORGET_AFTER) continue;
+      if (lastPolledAt === -Infinity || now - Math.max(lastSeenAt, 0) < FORGET_AFTER_MS) continue;
       this.#members.delete(ip);
       this.#fingerprint -= hashMember(ip);
       this.#ranked = undefined;
     }
   }
 
-  #listOtherHomes(): readonly Member[] {
-    const others: Member[] = [];
+  #listOtherHomes(): readonly MemberEntry[] {
+    const others: MemberEntry[] = [];
     for (const { ip } of this.listHomes()) {
       const member = this.#members.get(ip);
       if (ip !== this.options.self.ip && member !== undefined) others.push(member);
@@ -320,15 +317,15 @@
   }
 
   /** Homes first, in an order of this daemon's own, so that each gets its part of the questions. */
-  *#listInformants(): Iterable<MemberInfo> {
+  *#listPollCandidates(): Iterable<MemberInfo> {
     const { self } = this.options;
-    const measure = (info: MemberInfo) =>
+    const computePreference = (info: MemberInfo) =>
       Number(info.domain === self.domain) + getPairHash(self.ip, info.ip) / 2 ** HASH_BITS;
-    const homes = [...this.listHomes()].sort((a, b) => measure(b) - measure(a));
+    const homes = [...this.listHomes()].sort((a, b) => computePreference(b) - computePreference(a));
     yield* homes;
-    const names = new Set(homes.map(({ ip }) => ip));
+    const homeIps = new Set(homes.map(({ ip }) => ip));
     for (const info of this.#rank()) {
-      if (!names.has(info.ip)) yield info;
+      if (!homeIps.has(info.ip)) yield info;
     }
   }
 
@@ -336,20 +333,23 @@
     if (info.ip === this.options.self.ip) return this.options.readSelfState() === 'ready';
     const member = this.#members.get(info.ip);
     if (member === undefined || member.state !== 'ready') return false;
-    return this.options.clock.now() - member.heardAt <= SILENCE;
+    return this.options.clock.now() - member.lastSeenAt <= SILENCE_TIMEOUT_MS;
   }
 
   /** The order in which daemons become homes: strong ones first, then senior ones, then by hash; domains in turn. */
   #rank(): readonly MemberInfo[] {
     if (this.#ranked !== undefined) return this.#ranked;
-    const measure = (info: MemberInfo) => Math.floor(info.capacity / CAPACITY_STEP);
+    const countCapacitySteps = (info: MemberInfo) =>
+      Math.floor(info.capacity / CAPACITY_STEP_CORES);
     const ordered = this.list()
       .map((info) => ({ ...info, id: info.ip, name: info.ip, rank: getPairHash('home', info.ip) }))
       .sort(
         (a, b) =>
-          measure(b) - measure(a) || Number(b.isSenior) - Number(a.isSenior) || b.rank - a.rank,
+          countCapacitySteps(b) - countCapacitySteps(a) ||
+          Number(b.isSenior) - Number(a.isSenior) ||
+          b.rank - a.rank,
       );
-    this.#domains = new Set(ordered.map(({ domain }) => domain)).size;
+    this.#domainCount = new Set(ordered.map(({ domain }) => domain)).size;
     this.#ranked = spreadDomains(ordered).map(({ ip, domain, capacity, isSenior }) => ({
       ...{ ip, domain, capacity, isSenior },
     }));
@@ -357,11 +357,11 @@
   }
 }
 
-const FINGERPRINTS = 1_000_003;
+const FINGERPRINT_MODULUS = 1_000_003;
 
 /** Length of the numbers that pairs are hashed to. */
 const HASH_BITS = 48;
 
 function hashMember(ip: string): number {
-  return getPairHash('member', ip) % FINGERPRINTS;
+  return getPairHash('member', ip) % FINGERPRINT_MODULUS;
 }
--- a/test/feed.test.ts
+++ b/test/feed.test.ts
@@ -4,7 +4,7 @@
 import { ManualClock } from '../src/kernel/index.js';
 import { FeedClient, serveFeed } from '../src/peering/index.js';
 
-const QUESTION = { position: { targets: 1, configuration: 1, evacuations: 0 }, members: 0 };
+const REQUEST = { position: { targets: 1, configuration: 1, evacuations: 0 }, members: 0 };
 
 describe('news of another daemon', () => {
   const servers: http.Server[] = [];
@@ -44,12 +44,12 @@
     const client = new FeedClient(new ManualClock(), port, ({ delta }) =>
       heard.push(...delta.left.map(({ incarnation }) => incarnation)),
     );
-    const silent = client.fetchChanges('127.0.8.1', QUESTION);
+    const silent = client.fetchChanges('127.0.8.1', REQUEST);
     const startedAt = performance.now();
-    expect(await client.fetchChanges('127.0.8.2', QUESTION)).to.equal(true);
+    expect(await client.fetchChanges('127.0.8.2', REQUEST)).to.equal(true);
     expect(performance.now() - startedAt).to.be.lessThan(400);
     expect(heard).to.deep.equal(['127.0.8.2']);
-    expect(await client.fetchChanges('127.0.8.1', QUESTION)).to.equal(false);
+    expect(await client.fetchChanges('127.0.8.1', REQUEST)).to.equal(false);
     client.close();
     await silent;
   });
@@ -70,7 +70,7 @@
       }));
       servers.push(server);
       const client = new FeedClient(clock, address.port, ({ delta }) => heard.push(delta.left));
-      expect(await client.fetchChanges(address.host, QUESTION)).to.equal(true);
+      expect(await client.fetchChanges(address.host, REQUEST)).to.equal(true);
       const bytes = await new Promise<number>((resolve) => {
         http.get({ ...address, path: '/feed?targets=1', agent: false }, (response) => {
           response.resume();
@@ -91,7 +91,7 @@
     port = 0;
     await startFeed('127.0.8.1', true);
     await startFeed('127.0.8.2', false);
-    const first = { ...QUESTION, position: { targets: 0, configuration: 0, evacuations: 0 } };
+    const first = { ...REQUEST, position: { targets: 0, configuration: 0, evacuations: 0 } };
     const clock = new ManualClock();
     const client = new FeedClient(clock, port, () => undefined);
     const silent = client.fetchChanges('127.0.8.1', first);
--- a/test/helpers/news-fleet.ts
+++ b/test/helpers/news-fleet.ts
@@ -14,17 +14,17 @@
 import { FleetView, StoreReader, planPropagation } from '../../src/view/index.js';
 
 /** Within this time of its acknowledgement a change is to be in force, in milliseconds. */
-export const PROMISE = 2000;
+export const PROPAGATION_LIMIT_MS = 2000;
 
 const ADDRESS = { host: '10.0.0.9', port: 80 };
 
 /** Time for which a call to the store waits for an answer, besides a watch's own. */
-const CALL_TIMEOUT = 1000;
+const STORE_TIMEOUT_MS = 1000;
 
 /** Longest wait for an answer of another daemon. */
-const FEED_TIMEOUT = 600;
+const FEED_TIMEOUT_MS = 600;
 
-const READERS = 2;
+const READER_COUNT = 2;
 
 /** What is slow or broken in a fleet; times in milliseconds. */
 export interface FleetFaults {
@@ -36,22 +36,22 @@
   readonly lag?: number;
 }
 
-type Waiter = () => void;
+type Wake = () => void;
 
 /** A store in memory: it hears no daemon that it is cut from, and answers none that it was cut from meanwhile. */
-class NewsStore {
+class MemoryStore {
   readonly items = new Map<string, StoredItem>();
 
   readonly events: StoreEvent[] = [];
 
-  readonly #waiters = new Set<Waiter>();
+  readonly #waiters = new Set<Wake>();
 
   /** Calls of each daemon. */
   readonly calls = new Map<string, number>();
 
   #revision = 0;
 
-  #cuts = new Map<string, number>();
+  #disconnectedUntil = new Map<string, number>();
 
   constructor(
     private readonly clock: ManualClock,
@@ -67,17 +67,17 @@
   }
 
   /** From now on a daemon gets no answer, until it is joined again. */
-  cut(ip: string): void {
-    this.#cuts.set(ip, Infinity);
+  disconnect(ip: string): void {
+    this.#disconnectedUntil.set(ip, Infinity);
   }
 
-  join(ip: string): void {
-    this.#cuts.set(ip, this.clock.now());
+  reconnect(ip: string): void {
+    this.#disconnectedUntil.set(ip, this.clock.now());
   }
 
   /** Whether what was sent at a time brings no answer. */
   #isLost(ip: string, sentAt: number): boolean {
-    const until = this.#cuts.get(ip) ?? -Infinity;
+    const until = this.#disconnectedUntil.get(ip) ?? -Infinity;
     return until === Infinity || sentAt <= until;
   }
 
@@ -89,7 +89,7 @@
       const given = await answer();
       await this.clock.sleep(this.delay);
       if (!this.#isLost(ip, sentAt)) return given;
-      await this.clock.sleep(Math.max(0, sentAt + wait + CALL_TIMEOUT - this.clock.now()));
+      await this.clock.sleep(Math.max(0, sentAt + wait + STORE_TIMEOUT_MS - this.clock.now()));
       return { kind: 'unknown' as const, reason: 'timeout' };
     };
     return {
@@ -125,7 +125,7 @@
 }
 
 /** One daemon: what it knows, and how it learns it. */
-class NewsDaemon {
+class TestDaemon {
   readonly view: FleetView;
 
   readonly roster: Roster;
@@ -141,7 +141,7 @@
 
   constructor(
     readonly ip: string,
-    private readonly fleet: NewsFleet,
+    private readonly fleet: TestFleet,
     seed: number,
   ) {
     const { clock } = fleet;
@@ -187,35 +187,35 @@
 
   /** Whether it reads the store for all. */
   get isReader(): boolean {
-    const readers = this.roster.listHomes().slice(0, READERS);
+    const readers = this.roster.listHomes().slice(0, READER_COUNT);
     return readers.some(({ ip }) => ip === this.ip);
   }
 
   run(signal: AbortSignal): void {
     this.#reader.run(signal).catch(() => undefined);
-    this.#askOn(signal).catch(() => undefined);
+    this.#pollPeers(signal).catch(() => undefined);
   }
 
-  async #askOn(signal: AbortSignal): Promise<void> {
+  async #pollPeers(signal: AbortSignal): Promise<void> {
     const { clock } = this.fleet;
     while (!signal.aborted) {
       for (const { ip } of this.roster.listToPoll()) {
-        this.#ask(ip).catch(() => undefined);
+        this.#poll(ip).catch(() => undefined);
       }
       const { nearPollInterval: nearPace, remotePollInterval: remotePace } = this.fleet.times;
       await clock.sleep(this.roster.isNearHomes() ? nearPace : remotePace, signal);
     }
   }
 
-  async #ask(ip: string): Promise<void> {
+  async #poll(ip: string): Promise<void> {
     const { clock } = this.fleet;
     const askedAt = clock.now();
     const other = this.fleet.find(ip);
-    await this.fleet.pass();
+    await this.fleet.delayMessage();
     if (other.isGone) return;
     const knowledge = other.#exchange.read();
     const presences = other.roster.listPresences();
-    await this.fleet.pass();
+    await this.fleet.delayMessage();
     if (this.isGone) return;
     const travelled = clock.now() - askedAt;
     this.roster.recordStatus({ ip, domain: other.domain, capacity: 1, isSenior: true }, IDLE);
@@ -240,14 +240,14 @@
 const IDLE = { state: 'ready', utilisation: 0, pollers: 0 } as const;
 
 /** Nine daemons in three failure domains, and their store. */
-export class NewsFleet {
+export class TestFleet {
   readonly clock = new ManualClock();
 
-  readonly times = planPropagation(PROMISE);
+  readonly times = planPropagation(PROPAGATION_LIMIT_MS);
 
-  readonly store: NewsStore;
+  readonly store: MemoryStore;
 
-  readonly daemons: readonly NewsDaemon[];
+  readonly daemons: readonly TestDaemon[];
 
   readonly #running = new AbortController();
 
@@ -256,11 +256,11 @@
     private readonly faults: FleetFaults = {},
   ) {
     const { store = 2 } = faults;
-    this.store = new NewsStore(this.clock, store);
+    this.store = new MemoryStore(this.clock, store);
     this.configure(1);
     this.store.put(`${KEYS.targets}i`, writeTarget(ADDRESS));
     const ips = Array.from({ length: 9 }, (_, index) => `10.0.${seed}.${index + 1}`);
-    this.daemons = ips.map((ip, index) => new NewsDaemon(ip, this, 10 * seed + index));
+    this.daemons = ips.map((ip, index) => new TestDaemon(ip, this, 10 * seed + index));
     for (const { roster } of this.daemons) {
       for (const { ip, domain } of this.daemons) {
         roster.addMember({ ip, domain, capacity: 1, isSenior: true });
@@ -280,34 +280,34 @@
     this.store.put(`${KEYS.targets}i`, writeTarget(ADDRESS, { state: 'draining' }));
   }
 
-  find(ip: string): NewsDaemon {
+  find(ip: string): TestDaemon {
     const found = this.daemons.find((daemon) => daemon.ip === ip);
     if (found === undefined) throw new Error(`no daemon has the address ${ip}`);
     return found;
   }
 
   /** The daemons that read the store for all. */
-  listReaders(): readonly NewsDaemon[] {
+  listReaders(): readonly TestDaemon[] {
     return this.daemons.filter(({ isReader }) => isReader);
   }
 
   /** The way from one daemon to another, until it is looked at there. */
-  async pass(): Promise<void> {
+  async delayMessage(): Promise<void> {
     const { link = 1, lag = 0 } = this.faults;
     await this.clock.sleep(link + lag);
   }
 
-  async fetch(to: NewsDaemon, from: string, { position }: FeedRequest): Promise<boolean> {
+  async fetch(to: TestDaemon, from: string, { position }: FeedRequest): Promise<boolean> {
     const other = this.find(from);
     const startedAt = this.clock.now();
     // The first two ways open the connection.
-    for (let way = 0; way < 3; way += 1) await this.pass();
+    for (let way = 0; way < 3; way += 1) await this.delayMessage();
     if (other.isGone) {
-      await this.clock.sleep(Math.max(0, startedAt + FEED_TIMEOUT - this.clock.now()));
+      await this.clock.sleep(Math.max(0, startedAt + FEED_TIMEOUT_MS - this.clock.now()));
       return false;
     }
     const delta = other.view.diffSince(position, this.clock.now());
-    await this.pass();
+    await this.delayMessage();
     to.view.applyDelta(delta, this.clock.now());
     return true;
   }
--- a/test/load.test.ts
+++ b/test/load.test.ts
@@ -481,7 +481,7 @@
   const place = { domain: 'hu/bud1', capacity: 0.54, isSenior: true };
   const self = { ...place, state: 'ready' as const, utilisation: 0.25, pollers: 12.5 };
   const samples: readonly Datagram[] = [
-    { kind: 'ask', self, asked: 3 },
+    { kind: 'ask', self, polledCount: 3 },
     {
       ...{ kind: 'tell', self },
       knowledge: {
