--- a/test/news.test.ts
+++ b/test/news.test.ts
@@ -1,78 +1,78 @@
 import { expect } from 'chai';
 import { computeMaxPropagationDelay, planPropagation } from '../src/view/index.js';
-import { type FleetFaults, NewsFleet, PROMISE } from './helpers/news-fleet.js';
+import { type FleetFaults, TestFleet, PROPAGATION_LIMIT_MS } from './helpers/news-fleet.js';
 
 /** What is to be left of that, whatever happens. */
-const SPARE = 100;
+const MARGIN_MS = 100;
 
 /** Daemons are bound again this long after the store was away. */
-const CONTACT = 3000;
+const RECOVERY_MS = 3000;
 
 const SEEDS = [1, 2, 3];
 
-const PHASES = [0, 170, 340, 510, 680, 850];
+const PHASES_MS = [0, 170, 340, 510, 680, 850];
 
 /** A change is written after what happens to the store and the daemons. */
-interface Story {
+interface Scenario {
   readonly faults?: FleetFaults;
   /** What happens; returns the time before which nobody is bound. */
-  readonly happen: (fleet: NewsFleet) => Promise<number> | number;
+  readonly run: (fleet: TestFleet) => Promise<number> | number;
   /** Time from then to the change, besides the phase. */
   readonly pause: number;
 }
 
-async function breakStore(fleet: NewsFleet, time: number): Promise<number> {
-  for (const { ip } of fleet.daemons) fleet.store.cut(ip);
+async function breakStore(fleet: TestFleet, time: number): Promise<number> {
+  for (const { ip } of fleet.daemons) fleet.store.disconnect(ip);
   await fleet.clock.advance(time);
-  for (const { ip } of fleet.daemons) fleet.store.join(ip);
-  return fleet.clock.now() + CONTACT;
+  for (const { ip } of fleet.daemons) fleet.store.reconnect(ip);
+  return fleet.clock.now() + RECOVERY_MS;
 }
 
-function cutReaders(fleet: NewsFleet): number {
-  for (const { ip } of fleet.listReaders()) fleet.store.cut(ip);
+function cutOffReaders(fleet: TestFleet): number {
+  for (const { ip } of fleet.listReaders()) fleet.store.disconnect(ip);
   return 0;
 }
 
-function stopReaders(fleet: NewsFleet): number {
+function stopReaders(fleet: TestFleet): number {
   for (const daemon of fleet.listReaders()) {
     daemon.isGone = true;
-    fleet.store.cut(daemon.ip);
+    fleet.store.disconnect(daemon.ip);
   }
   return 0;
 }
 
 const SLOW: FleetFaults = { link: 15, store: 30, lag: 20 };
 
-const STORIES: Readonly<Record<string, Story>> = {
-  'on a quiet day': { happen: () => 0, pause: 0 },
-  'over slow links, at slow machines': { happen: () => 0, pause: 0, faults: SLOW },
-  'after the store was silent': { happen: (fleet) => breakStore(fleet, 6000), pause: 2000 },
+const SCENARIOS: Readonly<Record<string, Scenario>> = {
+  'on a quiet day': { run: () => 0, pause: 0 },
+  'over slow links, at slow machines': { run: () => 0, pause: 0, faults: SLOW },
+  'after the store was silent': { run: (fleet) => breakStore(fleet, 6000), pause: 2000 },
   'after the store was silent for a moment': {
-    happen: (fleet) => breakStore(fleet, 700),
+    run: (fleet) => breakStore(fleet, 700),
     pause: 1000,
   },
   'after the store was silent, over slow links': {
-    ...{ happen: (fleet: NewsFleet) => breakStore(fleet, 6000), pause: 2000, faults: SLOW },
+    ...{ run: (fleet: TestFleet) => breakStore(fleet, 6000), pause: 2000, faults: SLOW },
   },
-  'when those that read for all hear nothing from the store': { happen: cutReaders, pause: 0 },
-  'when they hear nothing, over slow links': { happen: cutReaders, pause: 0, faults: SLOW },
-  'when those that read for all have just been killed': { happen: stopReaders, pause: 0 },
+  'when those that read for all hear nothing from the store': { run: cutOffReaders, pause: 0 },
+  'when they hear nothing, over slow links': { run: cutOffReaders, pause: 0, faults: SLOW },
+  'when those that read for all have just been killed': { run: stopReaders, pause: 0 },
   'when they have just been killed, over slow links': {
-    ...{ happen: stopReaders, pause: 0, faults: SLOW },
+    ...{ run: stopReaders, pause: 0, faults: SLOW },
   },
 };
 
 // Guards against a change that some daemon has not in force in time, because those that read the store for all are not
 // told of it and nobody notices.
 describe('a change in the store', () => {
-  for (const [what, { faults, happen, pause }] of Object.entries(STORIES)) {
+  for (const [what, { faults, run: happen, pause }] of Object.entries(SCENARIOS)) {
     it(`is in force in time ${what}`, async () => {
       for (const seed of SEEDS) {
-        for (const phase of PHASES) {
-          const fleet = new NewsFleet(seed, faults);
+        for (const phase of PHASES_MS) {
+          const fleet = new TestFleet(seed, faults);
           try {
             await fleet.clock.advance(4000 + phase);
-            const silenced = new Set(happen === cutReaders ? fleet.listReaders() : []);
+            const silenced = new Set(happen === cutOffReaders ? fleet.listReaders() : []);
             const bound = await happen(fleet);
             await fleet.clock.advance(pause + (bound > 0 ? phase : 0));
             const writtenAt = fleet.clock.now();
@@ -81,7 +81,7 @@
             // A second one within the second, which all are told of after the first.
             fleet.configure(3);
             fleet.drain();
-            const due = Math.max(writtenAt + PROMISE, bound) - SPARE;
+            const due = Math.max(writtenAt + PROPAGATION_LIMIT_MS, bound) - MARGIN_MS;
             await fleet.clock.advance(due - fleet.clock.now());
             for (const daemon of fleet.daemons) {
               if (daemon.isGone || silenced.has(daemon)) continue;
@@ -126,7 +126,7 @@
   }
 
   it('leave the store to two readers on a quiet day, at two calls a second at most', async () => {
-    const fleet = new NewsFleet(1);
+    const fleet = new TestFleet(1);
     await fleet.clock.advance(3000);
     fleet.store.calls.clear();
     await fleet.clock.advance(10_000);
