--- a/src/peering/datagram.ts
+++ b/src/peering/datagram.ts
@@ -317,13 +317,13 @@
   for (let at = 0; at < numbers.length; at += LOAD_REPORT_LENGTH) {
     const [target, inFlight, steps, age] = numbers.slice(at, at + LOAD_REPORT_LENGTH);
     const slowdown = steps === 0 ? undefined : steps / SLOWDOWN_STEPS;
-    const advertisedRate = rates.get(loadReports.length);
+    const rate = rates.get(loadReports.length);
     loadReports.push({
       target,
       inFlight,
       slowdown,
       age,
-      ...(advertisedRate && { advertisedRate }),
+      ...(rate && { advertisedRate: rate }),
     });
   }
   return { kind: 'load', loadReports };
--- a/src/peering/reader-role.ts
+++ b/src/peering/reader-role.ts
@@ -32,7 +32,7 @@
 export class ReaderRole {
   #lastRemoteRead: RemoteRead | undefined;
 
-  #lastRemoteReadAt: number;
+  #remoteReadAt: number;
 
   #servingSince = Infinity;
 
@@ -45,7 +45,7 @@
     private readonly readTimes: () => PropagationTimes,
     startDelay = 0,
   ) {
-    this.#lastRemoteReadAt = clock.now() - readTimes().nearMaxStaleness + startDelay;
+    this.#remoteReadAt = clock.now() - readTimes().nearMaxAge + startDelay;
   }
 
   /** The last reading by another daemon that is known of; it may be passed on. */
@@ -55,8 +55,8 @@
 
   /** Notes that another daemon had read the store itself at a moment, as it said or somebody passed on. */
   recordRemoteRead(reader: string, at: number): void {
-    if (at <= this.#lastRemoteReadAt) return;
-    this.#lastRemoteReadAt = at;
+    if (at <= this.#remoteReadAt) return;
+    this.#remoteReadAt = at;
     this.#lastRemoteRead = { reader, at };
   }
 
@@ -79,12 +79,8 @@
 
   /** Time until this daemon reads for itself unless it is told of a reading, in milliseconds. */
   getReadDelay(): number {
-    const { nearMaxStaleness, remoteMaxStaleness } = this.readTimes();
-    return (
-      this.#lastRemoteReadAt +
-      (this.#isRemote() ? remoteMaxStaleness : nearMaxStaleness) -
-      this.clock.now()
-    );
+    const { nearMaxAge, remoteMaxAge } = this.readTimes();
+    return this.#remoteReadAt + (this.#isRemote() ? remoteMaxAge : nearMaxAge) - this.clock.now();
   }
 
   /** The longest pause after a call that the store did not answer, in milliseconds. */
@@ -98,7 +94,7 @@
     const now = this.clock.now();
     if (
       this.#servingSince === Infinity ||
-      now - this.#lastAnswerAt >= this.readTimes().nearMaxStaleness
+      now - this.#lastAnswerAt >= this.readTimes().nearMaxAge
     ) {
       return false;
     }
--- a/src/view/propagation-times.ts
+++ b/src/view/propagation-times.ts
@@ -15,9 +15,9 @@
   /** How long one watch waits: news come at once, and its end shows that there were none. */
   readonly watchTimeout: number;
   /** When no reading younger than this is known of, a daemon near the homes reads for itself. */
-  readonly nearMaxStaleness: number;
+  readonly nearMaxAge: number;
   /** The same for a daemon that is told by others and is not near the homes, which read before it has to. */
-  readonly remoteMaxStaleness: number;
+  readonly remoteMaxAge: number;
   /** How often homes and their successors ask one another. */
   readonly nearPollInterval: number;
   /** How often the others ask the daemons that they report to. */
@@ -31,8 +31,8 @@
 /** Parts of the promised time. */
 const FRACTIONS: PropagationTimes = {
   watchTimeout: 0.35,
-  nearMaxStaleness: 0.5,
-  remoteMaxStaleness: 0.75,
+  nearMaxAge: 0.5,
+  remoteMaxAge: 0.75,
   nearPollInterval: 0.05,
   remotePollInterval: 0.125,
   maxBackoff: 0.5,
@@ -58,8 +58,8 @@
   const time = Math.max(MIN_PROMISE_MS, Math.min(MAX_PROMISE_MS, promised));
   return {
     watchTimeout: FRACTIONS.watchTimeout * time,
-    nearMaxStaleness: FRACTIONS.nearMaxStaleness * time,
-    remoteMaxStaleness: FRACTIONS.remoteMaxStaleness * time,
+    nearMaxAge: FRACTIONS.nearMaxAge * time,
+    remoteMaxAge: FRACTIONS.remoteMaxAge * time,
     nearPollInterval: Math.min(MAX_NEAR_POLL_INTERVAL_MS, FRACTIONS.nearPollInterval * time),
     remotePollInterval: Math.min(MAX_REMOTE_POLL_INTERVAL_MS, FRACTIONS.remotePollInterval * time),
     maxBackoff: Math.min(MAX_BACKOFF_MS, FRACTIONS.maxBackoff * time),
@@ -83,9 +83,9 @@
   times: PropagationTimes,
   { hop, storeCall }: NetworkDelays,
 ): number {
-  const readNearHomes = times.nearMaxStaleness + storeCall;
+  const readNearHomes = times.nearMaxAge + storeCall;
   const fetchedElsewhere =
     readNearHomes + times.nearPollInterval + times.remotePollInterval + 2 * HOPS_OF_FETCH * hop;
-  const readElsewhere = times.remoteMaxStaleness + storeCall;
+  const readElsewhere = times.remoteMaxAge + storeCall;
   return Math.max(readNearHomes, Math.min(fetchedElsewhere, readElsewhere));
 }
--- a/test/helpers/news-fleet.ts
+++ b/test/helpers/news-fleet.ts
@@ -202,8 +202,8 @@
       for (const { ip } of this.roster.listToPoll()) {
         this.#poll(ip).catch(() => undefined);
       }
-      const { nearPollInterval: nearPace, remotePollInterval: remotePace } = this.fleet.times;
-      await clock.sleep(this.roster.isNearHomes() ? nearPace : remotePace, signal);
+      const { nearPollInterval, remotePollInterval } = this.fleet.times;
+      await clock.sleep(this.roster.isNearHomes() ? nearPollInterval : remotePollInterval, signal);
     }
   }
 
@@ -222,12 +222,12 @@
     for (const presence of presences) {
       this.roster.mergePresence({ ...presence, age: presence.age + travelled });
     }
-    const { lastRead: reading, proofAge } = knowledge;
+    const { lastRead, proofAge } = knowledge;
     await this.#exchange.receive(
       { ip, domain: other.domain, capacity: 1, isSenior: true },
       {
         ...{ ...knowledge, proofAge: proofAge + travelled },
-        lastRead: reading && { ...reading, age: reading.age + travelled },
+        lastRead: lastRead && { ...lastRead, age: lastRead.age + travelled },
       },
     );
   }
--- a/test/news.test.ts
+++ b/test/news.test.ts
@@ -65,15 +65,15 @@
 // Guards against a change that some daemon has not in force in time, because those that read the store for all are not
 // told of it and nobody notices.
 describe('a change in the store', () => {
-  for (const [what, { faults, run: happen, pause }] of Object.entries(SCENARIOS)) {
+  for (const [what, { faults, run, pause }] of Object.entries(SCENARIOS)) {
     it(`is in force in time ${what}`, async () => {
       for (const seed of SEEDS) {
         for (const phase of PHASES_MS) {
           const fleet = new TestFleet(seed, faults);
           try {
             await fleet.clock.advance(4000 + phase);
-            const silenced = new Set(happen === cutOffReaders ? fleet.listReaders() : []);
-            const bound = await happen(fleet);
+            const silenced = new Set(run === cutOffReaders ? fleet.listReaders() : []);
+            const bound = await run(fleet);
             await fleet.clock.advance(pause + (bound > 0 ? phase : 0));
             const writtenAt = fleet.clock.now();
             fleet.configure(2);
@@ -118,10 +118,8 @@
     it(`take no reader for silent that is well: ${promised} ms`, () => {
       const oldest =
         times.watchTimeout + DELAYS.storeCall + times.nearPollInterval + 2 * DELAYS.hop;
-      expect(oldest).to.be.lessThan(times.nearMaxStaleness);
-      expect(oldest + times.remotePollInterval + 2 * DELAYS.hop).to.be.lessThan(
-        times.remoteMaxStaleness,
-      );
+      expect(oldest).to.be.lessThan(times.nearMaxAge);
+      expect(oldest + times.remotePollInterval + 2 * DELAYS.hop).to.be.lessThan(times.remoteMaxAge);
     });
   }
 
