--- a/src/view/fleet-view.ts
+++ b/src/view/fleet-view.ts
@@ -1,60 +1,66 @@
 /**
- * What one daemon believes of the configuration and the targets, with the revision of each part.
+ * One daemon's view of the configuration and the targets, with the store revision of each part.
  *
- * Every part carries the revision of the store at which it changed, so news may come from the store
+ * Each part carries the store revision at which it last changed, so updates may come from the store
  * or from another daemon, in any order and more than once: a part only ever moves to a higher
- * revision. A configuration never falls to an older version within the life of a daemon.
+ * revision. While a daemon runs, its configuration never goes back to an older version.
  */
 import type { RouteTable } from '../routing/index.js';
 import { type TargetRecord, decodeConfiguration } from '../platform/documents.js';
 
-/** A target as listed, and the revision at which that became so. */
+/** A target's current record, and the store revision at which it last changed. */
 export interface ListedTarget {
   readonly record: TargetRecord;
   readonly revision: number;
-  /** Until when the target is slow after its start, on this daemon's clock. */
+  /**
+   * When the target stops being cold (slow after its start), on this daemon's clock in
+   * milliseconds.
+   */
   readonly coldUntil: number;
 }
 
-/** A target that left the list, and the revision at which it did. */
+/** A target that was removed, and the store revision of its removal. */
 export interface RemovedTarget {
   readonly incarnation: string;
   readonly revision: number;
 }
 
-/** The failure domains whose targets take no calls, because the operators asked for that. */
+/** The failure domains whose targets get no calls, at the operators' request. */
 export interface Evacuations {
   readonly domains: readonly string[];
-  /** The revision of the store at which these became all of them; 0 while none was ever heard of. */
+  /** The store revision of this set; 0 while none is known. */
   readonly revision: number;
 }
 
 /**
- * How far a view has come. Its parts come from the store by ways of their own, so one may be ahead of
- * another, and none says anything about the others.
+ * The store revisions that a view has reached, part by part. The parts are updated independently,
+ * so one may be ahead of another, and the revision of one part says nothing about the others.
  */
 export interface ViewPosition {
-  /** The store's revision at the last change of a target. */
+  /** The store revision of the last change of a target. */
   readonly targets: number;
-  /** The store's revision at the last change of the configuration. */
+  /** The store revision of the last change of the configuration. */
   readonly configuration: number;
-  /** The store's revision at the last change of the evacuated domains. */
+  /** The store revision of the last change of the evacuated domains. */
   readonly evacuations: number;
 }
 
-/** Up to which revisions of the store all changes are known. */
+/** The store revisions up to which all changes are known. */
 export interface KnownRevisions {
-  /** Of targets. */
+  /** Up to here all changes of targets are known. */
   readonly targets: number;
-  /** Of what the operators keep there. */
+  /** Up to here all changes of the operators' keys (configuration, evacuations) are known. */
   readonly operators: number;
 }
 
-/** The changes after a position, to be sent to another daemon. */
+/** The changes after a position, as sent to another daemon. */
 export interface ViewDelta {
-  /** The position that the other reaches with them. */
+  /** The position that the receiver reaches by applying them. */
   readonly position: ViewPosition;
-  /** Whether targets that are not named here are to be forgotten. */
+  /**
+   * Whether `targets` is the full list: the receiver removes its other targets, unless they are
+   * newer.
+   */
   readonly isWhole: boolean;
   readonly configuration?: { readonly text: string; readonly revision: number };
   readonly evacuations?: Evacuations;
@@ -62,23 +68,27 @@
   readonly left: readonly RemovedTarget[];
 }
 
-/** What is told when something changed. */
+/** Receives the changes of a view. */
 export interface ViewListener {
+  /** A newer configuration is in force. */
   onTable(table: RouteTable): void;
-  /** A target appeared, changed its state, or left; undefined stands for the record of one that left. */
+  /** A target was added, changed, or removed; `record` is undefined for a removed one. */
   onTarget(incarnation: string, record: TargetRecord | undefined, revision: number): void;
-  /** Other failure domains are evacuated than before. */
+  /** The set of evacuated failure domains has changed. */
   onEvacuations(evacuations: Evacuations): void;
-  /** A configuration could not be decoded and the one in force stays, or a part of the new one could not. */
+  /**
+   * A configuration could not be decoded, and the one in force stays; or a part of a new one could
+   * not.
+   */
   onFault(what: string): void;
 }
 
-/** Departures remembered for daemons that ask what changed; the history of some minutes. */
+/** Removals kept for daemons that ask what changed: a history of some minutes. */
 const MAX_REMOVED_TARGETS = 2000;
 
 /**
- * A target that is cold for this much longer than it was known to be has turned cold again, in milliseconds: what one
- * entry says differs by its way here.
+ * A target has turned cold again when the end of its cold time moves later by more than this.
+ * Smaller differences come from the varying delay with which one and the same record arrives.
  */
 const MIN_COLD_EXTENSION_MS = 1000;
 
@@ -105,9 +115,10 @@
 
   #removed: readonly RemovedTarget[] = [];
 
+  /** The revision of each kept removal, by incarnation. */
   readonly #removedAt = new Map<string, number>();
 
-  /** Departures up to this revision are no longer remembered. */
+  /** Removals up to this revision are no longer kept. */
   #forgottenUpTo = 0;
 
   #targetsRevision = 0;
@@ -125,7 +136,7 @@
     return this.#table;
   }
 
-  /** How far this view has come. */
+  /** The store revisions that this view has reached. */
   get position(): ViewPosition {
     return {
       ...{ targets: this.#targetsRevision, configuration: this.configurationRevision },
@@ -133,37 +144,41 @@
     };
   }
 
-  /** The last moment, on this daemon's clock, at which nothing newer was in the store. */
+  /**
+   * The last time, on this daemon's clock, at which the store is known to have held nothing newer.
+   */
   get provenAt(): number {
     return this.#provenAt;
   }
 
-  /** The revisions of the store up to which all changes are known. */
+  /** The store revisions up to which all changes are known. */
   get known(): KnownRevisions {
     return this.#known;
   }
 
-  /** The failure domains that are evacuated. */
+  /** The evacuated failure domains. */
   get evacuations(): Evacuations {
     return this.#evacuations;
   }
 
-  /** The revision of the newest configuration that is known; 0 when none is. */
+  /** The store revision of the newest known configuration; 0 when none is known. */
   get configurationRevision(): number {
     return this.#configuration?.revision ?? 0;
   }
 
-  /** The targets of the list, leaving ones included. */
+  /** Lists all known targets, draining ones included. */
   listTargets(): readonly ListedTarget[] {
     return [...this.#targets.values()];
   }
 
-  /** Notes that at time `at` the store held no newer change of a target or of what the operators keep. */
+  /**
+   * Records that at time `at` the store held no newer change of a target or of an operators' key.
+   */
   recordProof(at: number): void {
     this.#provenAt = Math.max(this.#provenAt, at);
   }
 
-  /** Notes up to which revisions all changes are known. */
+  /** Raises the revisions up to which all changes are known; lower values are ignored. */
   advanceKnown({ targets = 0, operators = 0 }: Partial<KnownRevisions>): void {
     this.#known = {
       targets: Math.max(this.#known.targets, targets),
@@ -171,17 +186,18 @@
     };
   }
 
-  /** Takes all the domains that are evacuated, as the store held them at a revision. */
+  /** Sets the complete list of evacuated domains, as the store held it at a revision. */
   setEvacuations({ domains, revision }: Evacuations): void {
     const { domains: known, revision: knownRevision } = this.#evacuations;
     if (revision <= knownRevision) return;
-    // What is the same at a later revision is taken as well: word of what stood between may still come.
+    // An equal list at a later revision is kept too: an update with a revision in between may still
+    // arrive.
     this.#evacuations = { domains, revision };
     const isSame = domains.length === known.length && domains.every((it) => known.includes(it));
     if (!isSame) this.listener.onEvacuations(this.#evacuations);
   }
 
-  /** Takes the configuration as the store held it at a revision. */
+  /** Sets the configuration, as the store held it at a revision. */
   setConfiguration(text: string, revision: number): void {
     if (this.#configuration !== undefined && revision <= this.#configuration.revision) return;
     const table = decodeConfiguration(text);
@@ -196,13 +212,15 @@
     this.listener.onTable(table);
   }
 
-  /** Takes a target's entry; one that says nothing new but that it lives changes no revision. */
+  /**
+   * Adds or updates a target. A heartbeat, which changes nothing in the record, moves no revision.
+   */
   putTarget(record: TargetRecord, revision: number, now: number): void {
     const { incarnation } = record;
     if (revision <= (this.#removedAt.get(incarnation) ?? 0)) return;
     const known = this.#targets.get(incarnation);
     if (known !== undefined && revision <= known.revision) return;
-    // Of two starts under one name the later one holds, in whatever order news come.
+    // Of two starts of one incarnation name the later one wins, whatever order the updates come in.
     if (known !== undefined && record.born < known.record.born) return;
     const coldUntil = record.coldLeft > 0 ? now + record.coldLeft : -Infinity;
     const isColdAgain = coldUntil > (known?.coldUntil ?? -Infinity) + MIN_COLD_EXTENSION_MS;
@@ -216,7 +234,7 @@
     this.listener.onTarget(incarnation, record, revision);
   }
 
-  /** Forgets a target whose entry is gone. */
+  /** Removes a target whose entry the store no longer holds. */
   removeTarget(incarnation: string, revision: number): void {
     const known = this.#targets.get(incarnation);
     if (known !== undefined && revision <= known.revision) return;
@@ -229,7 +247,10 @@
     this.listener.onTarget(incarnation, undefined, revision);
   }
 
-  /** Tells what changed after a position, or everything when that is no longer known. */
+  /**
+   * Lists the changes after a position, or everything when the removals since then are no longer
+   * kept.
+   */
   diffSince(after: ViewPosition, now: number): ViewDelta {
     const isWhole = after.targets < this.#forgottenUpTo || after.targets === 0;
     const configuration = this.#configuration;
@@ -250,7 +271,7 @@
     };
   }
 
-  /** Takes what another daemon tells. */
+  /** Applies changes that another daemon sent. */
   applyDelta(delta: ViewDelta, now: number): void {
     const { configuration } = delta;
     if (configuration !== undefined) {
--- a/src/view/index.ts
+++ b/src/view/index.ts
@@ -1,4 +1,4 @@
-/** What a daemon knows of configuration and targets, and how it learns it from the store. */
+/** A daemon's view of the configuration and the targets, and how it is read from the store. */
 export * from './fleet-view.js';
 export * from './store-reader.js';
 export * from './propagation-times.js';
--- a/src/view/propagation-times.ts
+++ b/src/view/propagation-times.ts
@@ -1,34 +1,45 @@
 /**
- * The times by which a change in the store comes to every daemon, worked out from the time within which that is promised.
+ * The timing with which changes in the store reach every daemon, derived from the promised
+ * propagation time.
  *
- * The longest way: those that read the store for all have turned silent just before the change. A daemon near the homes
- * notices that it knows of no reading younger than `nearStale` and reads itself; others near the homes ask it within
- * `nearPace`, those farther off ask these within `remotePace` and fetch what is new. Should that fail as well, a daemon
- * farther off reads by itself once it knows of no reading younger than `remoteStale`.
+ * The slowest case: the daemons that read the store for all others fail just before the change. A
+ * daemon near the homes then finds that the last read it knows of is older than `nearMaxAge` and
+ * reads the store itself. The others near the homes poll it within `nearPollInterval`, daemons
+ * farther away poll those within `remotePollInterval` and fetch the changes. If that fails too, a
+ * daemon farther away reads the store itself once the last read it knows of is older than
+ * `remoteMaxAge`.
  *
- * What makes these more than a guess: a watch that brings nothing ends after `watchWait`, so a reading that is known near
- * the homes is no older than that and a question, unless both readers are silent.
+ * The limits hold because a watch without changes ends after `watchTimeout`: near the homes, the
+ * last known read is at most that and one poll old, unless both readers have failed.
  */
 
-/** Times in milliseconds. */
+/** The timing of reads of the store and polls between daemons, in milliseconds. */
 export interface PropagationTimes {
-  /** How long one watch waits: news come at once, and its end shows that there were none. */
+  /**
+   * The longest wait of one watch. A change ends it at once; its timeout shows that there was none.
+   */
   readonly watchTimeout: number;
-  /** When no reading younger than this is known of, a daemon near the homes reads for itself. */
+  /**
+   * A daemon near the homes reads the store itself when the last read it knows of is older than
+   * this.
+   */
   readonly nearMaxAge: number;
-  /** The same for a daemon that is told by others and is not near the homes, which read before it has to. */
+  /**
+   * The same for a daemon that others answer and that is not near the homes; those read before it
+   * has to.
+   */
   readonly remoteMaxAge: number;
-  /** How often homes and their successors ask one another. */
+  /** The interval at which homes and their successors poll one another. */
   readonly nearPollInterval: number;
-  /** How often the others ask the daemons that they report to. */
+  /** The interval at which the other daemons poll those that they report to. */
   readonly remotePollInterval: number;
-  /** The longest pause of a daemon that reads, after a call that the store did not answer. */
+  /** The longest back-off of a reading daemon after a call that the store did not answer. */
   readonly maxBackoff: number;
-  /** The same for one whose homes try as well. */
+  /** The same for a daemon far from the homes, which retry as well. */
   readonly maxRemoteBackoff: number;
 }
 
-/** Parts of the promised time. */
+/** The times as fractions of the promised propagation time. */
 const FRACTIONS: PropagationTimes = {
   watchTimeout: 0.35,
   nearMaxAge: 0.5,
@@ -39,21 +50,33 @@
   maxRemoteBackoff: 1.25,
 };
 
-/** Presence is told by the same questions, so they come no more slowly than this, whatever is promised. */
+/**
+ * Upper bounds of the poll intervals for any promise, because the same polls detect failed daemons.
+ */
 const MAX_NEAR_POLL_INTERVAL_MS = 100;
 const MAX_REMOTE_POLL_INTERVAL_MS = 250;
 
-/** Pauses are no longer than this, whatever is promised: once the store is back daemons are to be in step soon. */
+/**
+ * Upper bounds of the back-off for any promise, so that daemons catch up soon after an outage of
+ * the store.
+ */
 const MAX_BACKOFF_MS = 1000;
 const MAX_REMOTE_BACKOFF_MS = 2500;
 
-/** A longer promise is no reason to learn of a killed reader later than this, in milliseconds. */
+/** Longer promises count as this one, so that a killed reader is noticed no later. */
 const MAX_PROMISE_MS = 3000;
 
-/** A shorter one can't be kept with questions over a network, and its times would be spent on nothing else. */
+/**
+ * Shorter promises count as this one: polls over a network can't keep them, and would take all of a
+ * daemon's time.
+ */
 const MIN_PROMISE_MS = 500;
 
-/** Plans the times. @param promised the time within which a change is to be in force everywhere, in milliseconds */
+/**
+ * Derives the times.
+ *
+ * @param promised the time within which a change is in force everywhere, in milliseconds
+ */
 export function planPropagation(promised: number): PropagationTimes {
   const time = Math.max(MIN_PROMISE_MS, Math.min(MAX_PROMISE_MS, promised));
   return {
@@ -67,18 +90,24 @@
   };
 }
 
-/** What the platform and the machines add to a way, in milliseconds. */
+/** The delays that the network, the store and the machines add, in milliseconds. */
 export interface NetworkDelays {
-  /** One way between two daemons, until what was sent is looked at. */
+  /** From sending a message to another daemon until that one handles it. */
   readonly hop: number;
   /** From a call to the store to its answer. */
   readonly storeCall: number;
 }
 
-/** Hops of a question, its answer, a connection for the fetch, and the fetch. */
+/**
+ * One-way trips of a poll, its reply, the connection for the fetch, and the fetch: two each for
+ * connection and fetch.
+ */
 const HOPS_OF_FETCH = 6;
 
-/** Computes how long after a change the last daemon has it, when those that read for all turned silent just before. */
+/**
+ * Computes when the last daemon has a change, in milliseconds after it, if all readers failed just
+ * before it.
+ */
 export function computeMaxPropagationDelay(
   times: PropagationTimes,
   { hop, storeCall }: NetworkDelays,
--- a/src/view/store-reader.ts
+++ b/src/view/store-reader.ts
@@ -1,9 +1,11 @@
 /**
- * Reads configuration and targets from the store, at a pace, while this daemon is a reader.
+ * Reads the configuration and the targets from the store at a bounded rate, while this daemon is a
+ * reader.
  *
- * A call is dear, so few daemons read. A watch that waits brings a change at once; a heartbeat that says nothing new
- * answers no watch. Its wait is short all the same, because only an answer shows that the store still receives the calls
- * of this daemon. One watch brings everything, so what its answer shows holds for the configuration and for targets.
+ * Calls to the store are expensive, so few daemons read. A waiting watch returns a change at once;
+ * a heartbeat without changes does not end it. Its timeout is short all the same, because only an
+ * answer shows that the store still receives this daemon's calls. One watch covers all keys, so its
+ * answer confirms the configuration and the targets alike.
  */
 import type { Clock, Log, Random } from '../kernel/index.js';
 import {
@@ -16,41 +18,44 @@
 } from '../platform/index.js';
 import type { FleetView } from './fleet-view.js';
 
-/** What a reader is made from. */
+/** The dependencies of a reader. */
 export interface StoreReaderOptions {
   readonly store: KvReader;
   readonly view: FleetView;
   readonly clock: Clock;
   readonly random: Random;
   readonly log: Log;
-  /** Whether this daemon is to read now; others hear from readers. */
+  /** Whether this daemon reads the store now; the others get the changes from readers. */
   readonly isReader: () => boolean;
-  /** Time until this daemon is to read unless it is told of a reading, in milliseconds. */
+  /** Time until this daemon has to read unless it learns of a read by another, in milliseconds. */
   readonly getReadDelay: () => number;
-  /** The longest pause after a call that the store did not answer, in milliseconds. */
+  /** The longest back-off after a call that the store did not answer, in milliseconds. */
   readonly getMaxBackoff: () => number;
-  /** How long one watch waits, in milliseconds. */
+  /** The longest wait of one watch, in milliseconds. */
   readonly getWatchTimeout: () => number;
 }
 
 const MIN_WATCH_TIMEOUT_MS = 1;
 
-/** Least time between two watches, for many changes in quick succession. */
+/**
+ * Shortest time between the starts of two watches, which limits the calls when many changes follow
+ * one another.
+ */
 const MIN_WATCH_INTERVAL_MS = 200;
 
-/** How often a daemon that does not read looks whether it has to. */
+/** How often a daemon that does not read checks whether it has to. */
 const IDLE_CHECK_INTERVAL_MS = 200;
 
-/** The same for one that nobody has told anything yet, and which is not ready before. */
+/** The same for a daemon whose view was never confirmed: it is not ready before that. */
 const START_CHECK_INTERVAL_MS = 20;
 
-/** The pause after a call that the store did not answer well, in milliseconds; each next one is longer. */
+/** The back-off after the first failed call; it doubles with each further failure in a row. */
 const FIRST_BACKOFF_MS = 200;
 
-/** An outage longer than this may have made entries lapse. */
+/** In an outage of this length or longer, leases of entries may have lapsed. */
 const MIN_LAPSE_OUTAGE_MS = 1000;
 
-/** Entries that lapsed in an outage are back within this time, or gone. */
+/** Entries whose leases lapsed in an outage are written again within this time, or stay removed. */
 const LAPSE_GRACE_MS = 1900;
 
 interface PendingRemoval {
@@ -58,7 +63,7 @@
   readonly due: number;
 }
 
-/** Pauses that grow with each failure in a row and are spread at random. */
+/** Exponential back-off with jitter. */
 class Backoff {
   #failures = 0;
 
@@ -78,9 +83,9 @@
   }
 }
 
-/** The reader of one daemon. */
+/** Reads the store for one daemon and applies the changes to its view. */
 export class StoreReader {
-  /** The revision after which changes are asked for; 0 when everything is to be read. */
+  /** The revision after which changes are requested; 0 when everything has to be read. */
   #afterRevision = 0;
 
   #lastReadAt = -Infinity;
@@ -91,25 +96,28 @@
 
   readonly #pendingRemovals = new Map<string, PendingRemoval>();
 
-  /** Entries of targets that could not be decoded. */
+  /** Incarnations whose entries could not be decoded. */
   readonly #unreadableTargets = new Set<string>();
 
-  /** Keys of the operators that could not be decoded. */
+  /** Operators' keys that could not be decoded. */
   readonly #unreadableKeys = new Set<string>();
 
   constructor(private readonly options: StoreReaderOptions) {}
 
-  /** The last moment at which this daemon itself saw that the store held nothing newer. */
+  /** The last time at which this daemon itself saw that the store held nothing newer. */
   get lastReadAt(): number {
     return this.#lastReadAt;
   }
 
-  /** Entries of targets and keys of the operators that can't be decoded now. */
+  /** How many entries of targets and operators' keys currently can't be decoded. */
   get unreadableCount(): number {
     return this.#unreadableTargets.size + this.#unreadableKeys.size;
   }
 
-  /** Reads once, cheaply and perhaps seconds late, so that a starting daemon knows something. */
+  /**
+   * Reads everything once, by cheap reads that may be seconds stale, so that a starting daemon has
+   * a first view.
+   */
   async readStale(): Promise<void> {
     await this.#readAll(true);
   }
@@ -121,7 +129,8 @@
     while (!signal.aborted) {
       this.#applyDueRemovals();
       if (!isReader()) {
-        // Others read, so the outage that this daemon saw is over, whatever it sees when it reads again.
+        // Others read meanwhile, so an outage that this daemon saw earlier must not count when it
+        // reads again.
         this.#failingSince = undefined;
         await clock.sleep(this.#chooseIdleDelay(), signal);
         continue;
@@ -144,7 +153,10 @@
     return Math.max(1, Math.min(interval, getReadDelay()));
   }
 
-  /** One reading; false when the store did not answer. */
+  /**
+   * Reads the changes by one watch, or everything where that is needed; false when the store did
+   * not answer.
+   */
   async #readChanges(): Promise<boolean> {
     const { store, view, clock, log } = this.options;
     const after = Math.max(this.#afterRevision, Math.min(view.known.targets, view.known.operators));
@@ -164,7 +176,8 @@
         this.#recordSuccess();
         for (const event of answer.events) this.#applyEvent(event);
         this.#afterRevision = Math.max(after, answer.storeRevision);
-        // Without news the answer was made at the end of the wait; with news at an unknown moment.
+        // Without events the store answered at the end of the wait; with events, at an unknown
+        // time.
         this.#recordProof(answer.events.length === 0 ? startedAt + timeout : startedAt);
         return true;
       case 'history-gone':
@@ -180,8 +193,9 @@
   }
 
   /**
-   * How long the next watch waits: until the last proof is as old as one may become. Before the first one, and after a
-   * call that was not answered, it only asks what there is.
+   * Chooses the timeout of the next watch so that it ends when the last read gets as old as a watch
+   * may last. Before the first read, and after a call without an answer, the watch returns
+   * immediately.
    */
   #chooseWatchTimeout(now: number): number {
     if (this.#failingSince !== undefined) return MIN_WATCH_TIMEOUT_MS;
@@ -196,7 +210,7 @@
     view.advanceKnown({ targets: this.#afterRevision, operators: this.#afterRevision });
   }
 
-  /** Reads everything; what changes meanwhile comes by the watch from the first page on. */
+  /** Reads everything; the next watch returns what changed since the first page. */
   async #readAll(allowsStale: boolean): Promise<boolean> {
     const startedAt = this.options.clock.now();
     const revisions = await Promise.all([
@@ -212,7 +226,10 @@
     return true;
   }
 
-  /** Reads all targets; returns the store's revision at the first page, undefined when the store did not answer. */
+  /**
+   * Reads all targets; returns the store revision of the first page, undefined when the store did
+   * not answer.
+   */
   async #readAllTargets(allowsStale: boolean): Promise<number | undefined> {
     const { view } = this.options;
     const items = await this.#readItems(KEYS.targets, allowsStale);
@@ -220,8 +237,9 @@
     const seen = new Set<string>();
     for (const item of items.listed) {
       seen.add(item.key.slice(KEYS.targets.length));
-      // Changes since the first page come by the watch, in their order: a view that is told of a later one first
-      // passes on a position that hides the earlier ones from other daemons.
+      // The next watch returns the changes since the first page in order. Applying a later one
+      // first would move the view's position past the earlier ones, and other daemons would never
+      // fetch those.
       if (item.revision <= items.revision) this.#applyTarget(item);
     }
     if (allowsStale) return items.revision;
@@ -232,7 +250,7 @@
     return items.revision;
   }
 
-  /** Reads the pages of a prefix; `revision` is the store's at the first one. */
+  /** Reads all pages of a prefix; `revision` is the store revision of the first page. */
   async #readItems(
     prefix: string,
     allowsStale: boolean,
@@ -268,7 +286,8 @@
     const record = decodeTarget(incarnation, item.text);
     this.#pendingRemovals.delete(incarnation);
     if ('kind' in record) {
-      // Whoever wrote it, it names no target to use; told once, until it is good again.
+      // An entry that can't be decoded names no usable target. Logged once, until it can be decoded
+      // again.
       if (!this.#unreadableTargets.has(incarnation)) {
         const { what, expected } = record;
         log.warn('target.unreadable', { incarnation, what, expected, revision: item.revision });
@@ -281,7 +300,10 @@
     view.putTarget(record, item.revision, clock.now());
   }
 
-  /** Entries that lapsed while the store was away come back; until that is clear they stay in use. */
+  /**
+   * Removes a target. After an outage the removal waits: entries that only lapsed in it are written
+   * again.
+   */
   #applyRemoval(key: string, revision: number): void {
     const incarnation = key.slice(KEYS.targets.length);
     this.#unreadableTargets.delete(incarnation);
@@ -300,7 +322,8 @@
       if (now < due) continue;
       this.#pendingRemovals.delete(incarnation);
       log.info('target.lapsed', { incarnation, revision });
-      // Others have heard of a later revision meanwhile, so the removal is told as of now.
+      // Other daemons may have reached a later revision meanwhile, so the removal takes the newest
+      // known one.
       view.removeTarget(incarnation, Math.max(revision, view.position.targets, view.known.targets));
     }
   }
@@ -321,18 +344,23 @@
     log.warn('store.lost', { proven_age: Math.round(clock.now() - this.options.view.provenAt) });
   }
 
-  /** Reads all that the operators keep; returns as for targets. */
+  /**
+   * Reads all operators' keys; returns the store revision of the first page, undefined without an
+   * answer.
+   */
   async #readAllOperatorKeys(allowsStale: boolean): Promise<number | undefined> {
     const items = await this.#readItems(KEYS.operators, allowsStale);
     if (items === undefined) return undefined;
     for (const item of items.listed) this.#applyConfiguration(item);
-    // Later pages may be newer than the first; what changed since then is told again, from there on.
+    // Later pages may be newer than the first; the next watch repeats what changed since the first.
     const domains = this.#listDomains(items.listed.map(({ key }) => key));
     this.options.view.setEvacuations({ domains, revision: items.revision });
     return items.revision;
   }
 
-  /** The domains that the keys ask to evacuate; one that can't be read is told of once. */
+  /**
+   * Lists the domains that the keys ask to evacuate; a key that can't be decoded is logged once.
+   */
   #listDomains(keys: readonly string[]): readonly string[] {
     const domains: string[] = [];
     for (const key of keys) {
