--- a/src/peering/datagram.ts
+++ b/src/peering/datagram.ts
@@ -1,81 +1,97 @@
-/** The datagrams between daemons, packed: their bytes between failure domains are paid for. */
+/**
+ * Encodes the datagrams between daemons. The format is compact, as traffic between failure domains
+ * is billed.
+ */
 import { decode, encode } from '@msgpack/msgpack';
 import type { BlamedRequest } from '../balance/poison.js';
 import type { KnownRevisions, ViewPosition } from '../view/index.js';
 import type { MemberState, MemberStatus, Presence } from './roster.js';
 
-/** What a daemon says of itself in each question and answer. */
+/** What a daemon reports of itself in each poll and each reply. */
 export interface SelfStatus extends MemberStatus {
   readonly domain: string;
   readonly capacity: number;
   readonly isSenior: boolean;
 }
 
-/** What a daemon answers when it is asked. */
+/** What a daemon knows of the store and of other daemons, as sent in reply to a poll. */
 export interface Knowledge {
-  /** The last changes that it knows of. */
+  /** The revisions that its view has reached. */
   readonly position: ViewPosition;
-  /** How long ago that was shown to be the newest, in milliseconds; Infinity when never. */
+  /**
+   * Time since that view was last confirmed to be current, in milliseconds; Infinity when it never
+   * was.
+   */
   readonly proofAge: number;
-  /** The last reading of the store by a daemon itself that it knows of; undefined when it knows of none. */
+  /**
+   * The last read of the store that it knows of, by itself or another daemon; undefined when it
+   * knows of none.
+   */
   readonly lastRead: StoreRead | undefined;
-  /** Up to which revisions it knows all changes. */
+  /** The revisions up to which it knows all changes. */
   readonly known: KnownRevisions;
-  /** Differs when two daemons know other members. */
+  /** A hash of its set of members, which shows whether two daemons know different ones. */
   readonly membersFingerprint: number;
-  /** How many homes it takes to be wanted; the first home's word counts. */
+  /** The number of homes that it considers needed; only the first home's value is followed. */
   readonly desiredHomes: number;
-  /** What it heard itself from daemons that serve or may soon. */
+  /** The states of the daemons that answered it directly of late. */
   readonly presences: readonly Presence[];
-  /** Requests under which targets ended, as far as they are news or held out. */
+  /** Requests under which targets ended: recent ones, and those that are held out. */
   readonly poisonReports: readonly PoisonReport[];
 }
 
-/** What a daemon tells of a request under which targets ended. */
+/** What a daemon reports of a request under which targets ended. */
 export interface PoisonReport extends BlamedRequest {
-  /** How long ago the last of them ended, or it was answered, in milliseconds. */
+  /**
+   * Time since the last of these targets ended, or since the request was answered, in milliseconds.
+   */
   readonly age: number;
 }
 
-/** A reading of the store, by the daemon that made it. */
+/** A read of the store. */
 export interface StoreRead {
+  /** The IP address of the daemon that read. */
   readonly reader: string;
-  /** How long ago, in milliseconds. */
+  /** Time since the read, in milliseconds. */
   readonly age: number;
 }
 
-/** What one home knows of one target that the others do not. */
+/** What one home reports of one target to other daemons. */
 export interface TargetLoadReport {
-  /** Stands for the target's incarnation. */
+  /** A number that represents the target's incarnation. */
   readonly target: number;
-  /** Calls that the home has in flight there. */
+  /** The home's calls in flight to the target. */
   readonly inFlight: number;
-  /** How slow the target is, as the home last heard, and how many milliseconds ago; none if it has not. */
+  /** The target's slowdown as it last reported it to the home; undefined when it has not. */
   readonly slowdown: number | undefined;
+  /** Time since that report, in milliseconds. */
   readonly age: number;
-  /** What the target told the home of the rate that it takes; undefined where that is no news. */
+  /** The rate limit that the target reported to the home; undefined where there is no new one. */
   readonly advertisedRate?: AdvertisedRateReport;
 }
 
-/** The rate that a target takes from all daemons together, as it told one of them. */
+/** The rate that a target accepts from all daemons together, as it reported it to one of them. */
 export interface AdvertisedRateReport {
-  /** Requests a second; undefined when it names none any more. */
+  /** Requests per second; undefined when the target no longer limits its rate. */
   readonly rate: number | undefined;
-  /** How long ago it said so, in milliseconds. */
+  /** Time since the target reported it, in milliseconds. */
   readonly age: number;
 }
 
-/** A target that has said that it drains. */
+/** A target that has reported that it is draining. */
 export interface DrainingReport {
-  /** Stands for the target's incarnation. */
+  /** A number that represents the target's incarnation. */
   readonly target: number;
-  /** How long ago it said so, in milliseconds. */
+  /** Time since the target reported it, in milliseconds. */
   readonly age: number;
 }
 
-/** A datagram. */
+/**
+ * A datagram: a poll ('ask'), the reply to it ('tell'), or reports of the load of targets, of
+ * poison requests or of draining targets.
+ */
 export type Datagram =
-  /** `asked` is how many daemons are asked in all, this one included. */
+  /** The sender polls `polledCount` daemons in all, itself included. */
   | { readonly kind: 'ask'; readonly self: SelfStatus; readonly polledCount: number }
   | { readonly kind: 'tell'; readonly self: SelfStatus; readonly knowledge: Knowledge }
   | { readonly kind: 'load'; readonly loadReports: readonly TargetLoadReport[] }
@@ -90,13 +106,13 @@
 const POISON = 3;
 const DRAINING = 4;
 
-/** Slowdowns travel as whole tenths, and none as 0. */
+/** Slowdowns are encoded in whole tenths, an unknown one as 0. */
 const SLOWDOWN_STEPS = 10;
 
-/** The part of time at work travels in hundredths. */
+/** Utilisation is encoded in hundredths. */
 const UTILISATION_STEPS = 100;
 
-/** Ages travel as whole milliseconds, and none as nil. */
+/** Encodes an age as whole milliseconds, an infinite one as nil. */
 function encodeAge(age: number): number | null {
   return Number.isFinite(age) ? Math.max(0, Math.round(age)) : null;
 }
@@ -105,7 +121,7 @@
   return value === null || typeof value === 'number';
 }
 
-/** Addresses travel as one number, which is a third of their text. */
+/** Encodes an IPv4 address as one number, which takes a third of the bytes of its text. */
 function encodeIp(ip: string): number {
   return ip.split('.').reduce((sum, part) => sum * 256 + Number(part), 0);
 }
@@ -114,7 +130,7 @@
   return [24, 16, 8, 0].map((shift) => Math.floor(number / 2 ** shift) % 256).join('.');
 }
 
-/** The part of a daemon's questions travels in hundredths. */
+/** The weighted number of pollers is encoded in hundredths. */
 const POLLER_STEPS = 100;
 
 function encodeSelf(self: SelfStatus): readonly unknown[] {
@@ -137,7 +153,10 @@
   ]);
 }
 
-/** Few shares name a rate, so those that do stand behind all, each with its place. */
+/**
+ * Few reports carry a rate limit, so the limits follow after all reports, each with the index of
+ * its report.
+ */
 function encodeAdvertisedRates(reports: readonly TargetLoadReport[]): readonly unknown[] {
   const rates = reports.flatMap((report, index) =>
     report.advertisedRate === undefined
@@ -151,7 +170,7 @@
   return rates.length === 0 ? [] : [rates];
 }
 
-/** Packs a datagram. */
+/** Encodes a datagram. */
 export function encodeDatagram(datagram: Datagram): Uint8Array {
   switch (datagram.kind) {
     case 'ask':
@@ -207,10 +226,13 @@
 const SELF_LENGTH = 6;
 const PRESENCE_LENGTH = 3;
 
-/** Presences in one answer, so that it stays below what a network carries in one piece. */
+/**
+ * The most presences in one reply, which keeps it below the size at which networks fragment
+ * datagrams.
+ */
 const MAX_PRESENCES = 64;
 
-/** Reads a reading; undefined when it makes no sense, null when none is told. */
+/** Decodes a read of the store; undefined when it is invalid, null when there is none. */
 function decodeStoreRead(value: unknown): StoreRead | null | undefined {
   if (value === null) return null;
   if (!Array.isArray(value) || !isNumbers(value) || value.length !== 2) return undefined;
@@ -235,7 +257,7 @@
   return values.every((value) => typeof value === 'string');
 }
 
-/** Reads cases; undefined when one makes no sense. */
+/** Decodes poison reports; undefined when one is invalid. */
 function decodePoisonReports(values: unknown): readonly PoisonReport[] | undefined {
   if (!Array.isArray(values)) return undefined;
   const reports: PoisonReport[] = [];
@@ -292,7 +314,7 @@
 
 const ADVERTISED_RATE_LENGTH = 3;
 
-/** Reads the rates that shares name, by the place of the share; undefined when one makes no sense. */
+/** Decodes rate limits by the index of their load report; undefined when one is invalid. */
 function decodeAdvertisedRates(
   fields: readonly unknown[],
 ): ReadonlyMap<number, AdvertisedRateReport> | undefined {
@@ -340,7 +362,7 @@
   return { kind: 'draining', targets };
 }
 
-/** Unpacks a datagram; undefined when it is none of ours. */
+/** Decodes a datagram; undefined when the bytes are not a valid one. */
 export function decodeDatagram(bytes: Uint8Array): Datagram | undefined {
   let value: unknown;
   try {
--- a/src/peering/feed.ts
+++ b/src/peering/feed.ts
@@ -1,4 +1,7 @@
-/** What changed, from one daemon to another over HTTP: positions say from where on. */
+/**
+ * Transfers changes of the view and the members between daemons over HTTP, from a given position
+ * on.
+ */
 import http from 'node:http';
 import { promisify } from 'node:util';
 import { constants, gzip } from 'node:zlib';
@@ -14,17 +17,17 @@
 import type { TargetRecord } from '../platform/index.js';
 import type { MemberInfo } from './roster.js';
 
-/** What a daemon knows that asks another one what there is besides. */
+/** What the requesting daemon knows already. */
 export interface FeedRequest {
   readonly position: ViewPosition;
-  /** The fingerprint of the members that it knows. */
+  /** The fingerprint of its members. */
   readonly members: number;
 }
 
-/** The answer of a feed. */
+/** A feed's response: what the requesting daemon lacks. */
 export interface FeedResponse {
   readonly delta: ViewDelta;
-  /** The members; none are named when the other knows the same ones. */
+  /** All members; empty when the requesting daemon knows the same ones. */
   readonly members: readonly MemberInfo[];
 }
 
@@ -81,7 +84,10 @@
   return targets.every(isTargetChange) && left.every(isRemovedTarget);
 }
 
-/** Reads a feed's answer; undefined when any part of it makes no sense, so that none of it is taken. */
+/**
+ * Validates the body of a feed's response; undefined when any part is invalid, so that no part of
+ * it is applied.
+ */
 export function parseFeedResponse(value: unknown): FeedResponse | undefined {
   if (!isJsonObject(value) || !isDelta(value.delta) || !Array.isArray(value.members))
     return undefined;
@@ -90,29 +96,37 @@
     : undefined;
 }
 
-/** Longest wait for a feed; another daemon, or the store, is asked after it. */
+/** The timeout of a fetch, after which another daemon or the store is asked. */
 const FETCH_TIMEOUT_MS = 600;
 
 /**
- * While this many daemons are asked, nobody else is for a moment. One may be frozen or cut off just then,
- * so a second one is asked at once; more would only carry the same bytes.
+ * With this many fetches in flight no other is started until the delay below has passed. The first
+ * daemon may be frozen or cut off, so a second one is asked at once; more would only transfer the
+ * same bytes again.
  */
 const MAX_CONCURRENT_FETCHES = 2;
 
-/** One that knows nothing yet gets the whole fleet's list, hundreds of kilobytes; it asks one at a time. */
+/**
+ * The same for a daemon without a view, which fetches the full list of targets: hundreds of
+ * kilobytes.
+ */
 const MAX_CONCURRENT_FULL_FETCHES = 1;
+
+/** This long after the start of the last fetch, another one may be started beyond the limit. */
 const EXTRA_FETCH_DELAY_MS = 150;
 
 /**
- * Many daemons that start at once change the members all the time. One that starts asks soon again,
- * and each time later, as what it still misses becomes less.
+ * The interval between two fetches of the members starts at the first value and doubles up to the
+ * second. While many daemons start together, the members change all the time; each fetch brings
+ * fewer new ones than the one before.
  */
 const MIN_MEMBERS_INTERVAL_MS = 50;
 const MAX_MEMBERS_INTERVAL_MS = 2000;
 
 /**
- * Answers from this length on are packed: a drawn list of 503 targets takes 102 KB as text and 14 KB packed. Machines
- * with a few Mbit/s get it sooner, and bytes between failure domains are paid for.
+ * Responses of at least this size are compressed: a generated list of 503 targets takes 102 KB as
+ * text and 14 KB compressed. Machines with a few Mbit/s get it sooner, and traffic between failure
+ * domains is billed.
  */
 const MIN_COMPRESSED_BYTES = 2048;
 
@@ -138,7 +152,10 @@
   response.end(compressed);
 }
 
-/** Starts to answer the feeds of others. */
+/**
+ * Starts an HTTP server that answers the feed requests of other daemons. Rejects when it can't
+ * listen.
+ */
 export function serveFeed(
   address: Address,
   answer: (request: FeedRequest) => FeedResponse,
@@ -168,7 +185,7 @@
   });
 }
 
-/** Fetches the feeds of others. */
+/** Fetches changes and members from the feeds of other daemons. */
 export class FeedClient {
   readonly #agent = new http.Agent({ keepAlive: true, maxSockets: 1, timeout: 5000 });
 
@@ -186,7 +203,7 @@
     private readonly onResponse: (response: FeedResponse) => void,
   ) {}
 
-  /** Fetches the members that another daemon knows, unless that was done of late. */
+  /** Fetches the members from another daemon, unless the last such fetch was too recent. */
   async fetchMembers(ip: string, request: FeedRequest): Promise<void> {
     const now = this.clock.now();
     if (now - this.#membersFetchedAt < this.#membersInterval) return;
@@ -195,7 +212,10 @@
     await this.#fetch(ip, request);
   }
 
-  /** Fetches what changed after a position, unless that is under way already. */
+  /**
+   * Fetches the changes after a position unless enough fetches are in flight; true when changes
+   * were received.
+   */
   async fetchChanges(ip: string, request: FeedRequest): Promise<boolean> {
     const now = this.clock.now();
     const maxConcurrent =
--- a/src/peering/home-scaler.ts
+++ b/src/peering/home-scaler.ts
@@ -1,41 +1,52 @@
 /**
- * How many homes there are: as many as carry the load, so that none of them acts late.
+ * Scales the number of homes with the load, so that none of them is slow to act.
  *
- * The pattern answered: more calls than a few daemons' processors carry while the others idle. Homes that are busy
- * most of their time act late on all calls. More homes cost precision, since counts of calls are told and not seen,
- * and each of them tells all others and asks targets, so there are no more than the load needs.
+ * Guards against more calls than the processors of a few daemons can handle while the other daemons
+ * idle: homes that are busy most of the time delay every call. Each further home costs precision,
+ * because homes learn each other's counts of calls from reports, and it costs messages, because
+ * each reports to all others and probes targets. So there are no more homes than the load needs.
  *
- * The first home plans and tells; the others follow, so all name the same homes to callers.
+ * The first home plans the number and announces it. The others adopt it, so all give callers the
+ * same homes.
  */
 import type { HomeUtilisation } from './roster.js';
 
-/** What the plan follows from. */
+/** The input of a plan. */
 export interface HomeScalerInput {
-  /** Homes until now. */
+  /** The current number of homes. */
   readonly homes: number;
-  /** Homes that the settings ask for at least. */
+  /** The least number of homes that the settings allow. */
   readonly minHomes: number;
-  /** How busy each home was of late. */
+  /** The recent utilisation of each home. */
   readonly utilisations: readonly HomeUtilisation[];
+  /** The current time, in milliseconds. */
   readonly now: number;
 }
 
-/** From this part on the time that work waits for the processor is longer than the work itself. */
+/**
+ * The utilisation (0 to 1) from which work waits for the processor for longer than it takes itself.
+ */
 export const HIGH_UTILISATION = 0.6;
 
-/** One home fewer would still leave the others less busy than that. */
+/** Below this utilisation (0 to 1) one home fewer still leaves the others below the limit above. */
 const LOW_UTILISATION = 0.2;
 
-/** Homes after a change, as a multiple of those before it. */
+/** The factor by which the number of homes grows. */
 const GROWTH_FACTOR = 1.5;
 
-/** Callers that hold an answer move within this time; until then a change does not show, in milliseconds. */
+/**
+ * Callers that cache the list of homes move within this time; until then the effect of a change
+ * does not show.
+ */
 const SETTLE_TIME_MS = 6000;
 
-/** The load has to be low for this long before there are fewer homes, as callers must move again. */
+/** How long the load has to be low before a home is removed, as callers then have to move again. */
 const SCALE_DOWN_DELAY_MS = 15_000;
 
-/** The part of all cores that is at work: a weak home that is full says little of the others. */
+/**
+ * Computes the utilisation of all cores together: a small home at its limit says little about the
+ * others.
+ */
 function computeMeanUtilisation(homes: readonly HomeUtilisation[]): number {
   let work = 0;
   let cores = 0;
@@ -46,13 +57,13 @@
   return cores > 0 ? work / cores : 0;
 }
 
-/** The plan of the first home. */
+/** Plans the number of homes; used by the first home. */
 export class HomeScaler {
   #changedAt = -Infinity;
 
   #lastLoadedAt = -Infinity;
 
-  /** Returns how many homes there should be. */
+  /** Returns the number of homes that the load needs. */
   plan({ homes, minHomes, utilisations, now }: HomeScalerInput): number {
     const mean = computeMeanUtilisation(utilisations);
     if (mean >= LOW_UTILISATION) this.#lastLoadedAt = now;
--- a/src/peering/index.ts
+++ b/src/peering/index.ts
@@ -1,4 +1,7 @@
-/** The daemons among themselves: who is there, who is a home, and news from those who read the store. */
+/**
+ * Communication between daemons: which ones are alive, which are homes, and changes from those that
+ * read the store.
+ */
 export * from './roster.js';
 export * from './peer-link.js';
 export * from './feed.js';
--- a/src/peering/member-registry.ts
+++ b/src/peering/member-registry.ts
@@ -1,33 +1,37 @@
 /**
- * The list of daemons in the store, for one that starts and reaches none of its seeds.
+ * Keeps a list of daemons in the store, for a daemon that starts and reaches none of its seeds.
  *
- * Liveness is never read from it: who is there is asked over the network. So it needs no lease, and
- * a few writes a day keep it: only the first home writes, and only when the members have changed.
+ * The list says nothing about liveness, which daemons find out by polling each other. So it needs
+ * no lease, and a few writes a day suffice: only the first home writes, and only when the members
+ * have changed.
  */
 import type { Clock, Log } from '../kernel/index.js';
 import { KEYS, type KvStore } from '../platform/index.js';
 import type { Roster } from './roster.js';
 
-/** What the registry is made from. */
+/** The dependencies of the registry. */
 export interface MemberRegistryOptions {
   readonly store: KvStore;
   readonly roster: Roster;
   readonly clock: Clock;
   readonly log: Log;
-  /** Whether the whole system starts for the first time: nothing stands in the store yet. */
+  /** Whether the whole system starts for the first time, so that the store is still empty. */
   readonly isFirstStart: boolean;
-  /** Whether it falls to this daemon to write. */
+  /** Whether this daemon is the one that writes the list. */
   readonly isWriter: () => boolean;
-  /** Called with daemons to look for. */
+  /** Called with the addresses of the daemons in the list. */
   readonly onFound: (ips: readonly string[]) => void;
 }
 
 const CHECK_INTERVAL_MS = 1000;
 
-/** Members have to be the same for this many rounds before they are written: many start at once. */
+/**
+ * For how many rounds the members must not change before they are written, as many daemons may
+ * start together.
+ */
 const MIN_STABLE_ROUNDS = 3;
 
-/** Rounds between two looks of a daemon that knows nobody else. */
+/** A daemon that knows no other reads the list every this many rounds. */
 const LOOKUP_ROUNDS = 2;
 
 interface WrittenMembers {
@@ -43,7 +47,7 @@
   }
 }
 
-/** Keeps the list while this daemon is the writer. */
+/** Writes the list while this daemon is the writer, and reads it when the daemon knows no other. */
 export class MemberRegistry {
   #writtenText: string | undefined;
 
@@ -70,6 +74,7 @@
     if (answer.kind === 'item') this.options.onFound(parseMembers(answer.item.text));
   }
 
+  /** Builds the current list and checks that it has not changed for enough rounds. */
   #checkStable(): boolean {
     const members = this.options.roster
       .list()
@@ -92,7 +97,7 @@
     const expected = current.kind === 'item' ? current.item.revision : 0;
     const written = await store.write({ key: KEYS.members, text, expected });
     log.info('members.written', { outcome: written.kind });
-    // After any other outcome the next round reads what stands there now.
+    // After any other outcome the next round reads the current list and tries again.
     if (written.kind === 'done') this.#writtenText = text;
   }
 }
--- a/src/peering/peer-link.ts
+++ b/src/peering/peer-link.ts
@@ -1,7 +1,8 @@
 /**
- * Short questions between daemons, as datagrams: are you there, what do you know, how old is it?
+ * Polls other daemons by datagrams: whether they are alive, what they know, and how old it is.
  *
- * A question and its answer are about a hundred bytes; what changed travels over {@link Feed}.
+ * A poll and its reply are about a hundred bytes. The changes themselves are fetched over HTTP, see
+ * feed.ts.
  */
 import dgram from 'node:dgram';
 import type { Address, Clock, Log } from '../kernel/index.js';
@@ -18,70 +19,79 @@
 import type { PropagationTimes } from '../view/index.js';
 import type { MemberInfo, MemberState, Roster } from './roster.js';
 
-/** What the link is made from. */
+/** The dependencies of the link. */
 export interface PeerLinkOptions {
   readonly address: Address;
   readonly readSelf: () => MemberInfo;
   readonly readSelfState: () => MemberState;
-  /** The part of its time in which this daemon was at work of late, from 0 to 1. */
+  /** This daemon's recent utilisation, from 0 to 1. */
   readonly readUtilisation: () => number;
   readonly roster: Roster;
   readonly clock: Clock;
   readonly log: Log;
-  /** How often others are asked. */
+  /** The poll intervals. */
   readonly readTimes: () => PropagationTimes;
   readonly readKnowledge: () => Knowledge;
-  /** Called with what another daemon knows, as of the moment when it was asked. */
+  /**
+   * Called with a reply. Its ages include the time since the poll, as it may have been in transit
+   * for that long.
+   */
   readonly onKnowledge: (from: MemberInfo, knowledge: Knowledge) => void;
-  /** Called with what another home knows of targets. */
+  /** Called with the load reports of a home. */
   readonly onLoadReports: (from: string, reports: readonly TargetLoadReport[]) => void;
-  /** Called with targets that drain, as another daemon was told by them. */
+  /** Called with the targets that have told another daemon that they are draining. */
   readonly onDrainingReports: (from: string, reports: readonly DrainingReport[]) => void;
-  /** Called with what another daemon tells of requests under which targets ended. */
+  /** Called with another daemon's reports of requests under which targets ended. */
   readonly onPoisonReports: (from: string, reports: readonly PoisonReport[]) => void;
 }
 
-/** How often one of the daemons in the settings or the store that never answered is asked, in turn. */
+/**
+ * The interval at which one seed (a daemon named in the settings or the store that never answered)
+ * is polled, in turn.
+ */
 const SEED_POLL_INTERVAL_MS = 1000;
 
 /**
- * Of those a daemon to which nobody has answered yet asks this many in a round. The store names the whole
- * fleet, and after a loss of power half of it may be looking for the other half.
+ * The most seeds that a daemon polls in a round until anyone has answered. The store names the
+ * whole fleet, and after a power failure half of it may be looking for the other half.
  */
 const MAX_SEEDS_PER_ROUND = 4;
 
 /**
- * A daemon that has just started asks all that it knows of this often, for as long as others that were
- * started with it may still be coming up. Until it knows them, callers are told of it alone.
+ * After its start a daemon polls at this interval, for as long as others that were started together
+ * with it may still be coming up. Until it knows them, it names only itself to callers.
  */
 const START_POLL_INTERVAL_MS = 100;
 const START_PHASE_MS = 2000;
 
-/** A silent daemon is looked for among all those known this often. */
+/** The interval at which daemons that have been silent for long are dropped from the roster. */
 const FORGET_INTERVAL_MS = 10_000;
 
-/** The datagram socket of one daemon. */
+/** Polls other daemons, answers their polls and exchanges reports over one datagram socket. */
 export class PeerLink {
   readonly #socket = dgram.createSocket('udp4');
 
-  /** When each daemon was last asked, to know how old its answer is at most. */
+  /** When each daemon was last polled, which bounds the age of its reply. */
   readonly #polledAt = new Map<string, number>();
 
-  /** Who asked of late, to be told at once when this daemon stops, and how many others it asks as well. */
+  /**
+   * Daemons that polled this one: when last, and how many they poll in all. They get state changes
+   * at once.
+   */
   readonly #pollers = new Map<string, { readonly at: number; readonly polledCount: number }>();
 
-  /** Those that never answered, the next to be asked first. */
+  /** Daemons that never answered, in the order in which they are polled next. */
   #seeds: readonly string[] = [];
 
-  /** Whether anybody has answered since the start. */
+  /** Whether any daemon has answered since the start. */
   #hasReply = false;
 
-  /** How many this daemon asks, itself included. */
+  /** How many daemons this one polls, itself included. */
   #polledCount = 1;
 
   constructor(private readonly options: PeerLinkOptions) {}
 
-  /** Opens the socket and asks until the signal aborts. */
+  /** Opens the socket and polls until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const { address, clock, roster, log } = this.options;
     this.#socket.on('message', (message, from) => this.#receive(message, from.address));
@@ -116,19 +126,19 @@
     this.#socket.close();
   }
 
-  /** Whether it has heard from another daemon, or knows of none. */
+  /** Whether another daemon has answered, or no seed is left to poll. */
   get hasJoined(): boolean {
     return this.#hasReply || this.#seeds.length === 0;
   }
 
-  /** Names daemons to ask until they answer. */
+  /** Adds daemons to poll until they answer. */
   addSeeds(ips: readonly string[]): void {
     const own = this.options.readSelf().ip;
     const others = ips.filter((ip) => ip !== own);
     this.#seeds = [...new Set([...this.#seeds, ...others])];
   }
 
-  /** The next ones to ask; they go to the end of the line. */
+  /** Returns the next seeds to poll and moves them to the end of the list. */
   #rotateSeeds(count: number): readonly string[] {
     const next = this.#seeds.slice(0, count);
     this.#seeds = [...this.#seeds.slice(count), ...next];
@@ -136,8 +146,9 @@
   }
 
   /**
-   * Counts the daemons that look to this one: each that asked of late counts as the part of its questions
-   * that comes here, and so does this daemon itself. Over all daemons the counts sum up to the fleet.
+   * Counts the daemons that poll this one. Each recent poller, and this daemon itself, counts as
+   * the fraction of its polls that comes here, so the counts of all daemons add up to the size of
+   * the fleet.
    */
   countPollers(): number {
     const now = this.options.clock.now();
@@ -149,8 +160,9 @@
   }
 
   /**
-   * Counts the daemons that look to this one as a home. A daemon that is no home sends nothing where homes share a
-   * rate, so what it asks itself counts for those that it asks; over all homes the counts sum up to the fleet.
+   * Counts the daemons that poll this one as a home. Where homes share a rate, a daemon that is no
+   * home sends nothing, so its own fraction counts for the homes that it polls. The counts of all
+   * homes add up to the size of the fleet.
    */
   countHomePollers(): number {
     const now = this.options.clock.now();
@@ -163,7 +175,7 @@
     return pollers;
   }
 
-  /** Tells everybody who asked of late how things are now, without being asked. */
+  /** Sends this daemon's current state to all recent pollers, without waiting for a poll. */
   pushToPollers(): void {
     const now = this.options.clock.now();
     for (const [ip, { at }] of this.#pollers) {
@@ -171,17 +183,17 @@
     }
   }
 
-  /** Tells another home what this one knows of targets. */
+  /** Sends load reports to another daemon. */
   sendLoadReports(ip: string, loadReports: readonly TargetLoadReport[]): void {
     this.#send(ip, { kind: 'load', loadReports });
   }
 
-  /** Tells another daemon of targets that drain. */
+  /** Sends reports of draining targets to another daemon. */
   sendDrainingReports(ip: string, targets: readonly DrainingReport[]): void {
     this.#send(ip, { kind: 'draining', targets });
   }
 
-  /** Tells another daemon of requests under which targets ended. */
+  /** Sends reports of requests under which targets ended to another daemon. */
   sendPoisonReports(ip: string, poisonReports: readonly PoisonReport[]): void {
     this.#send(ip, { kind: 'cases', poisonReports });
   }
@@ -210,7 +222,7 @@
 
   #send(ip: string, datagram: Datagram): void {
     this.#socket.send(encodeDatagram(datagram), this.options.address.port, ip, (error) => {
-      // A VM that is gone refuses; that it does not answer is noticed by its silence.
+      // Sending to a VM that is gone may fail; the roster notices by its silence that it is gone.
       if (error !== null) this.options.log.debug('peer.unsent', { to: ip, error: error.message });
     });
   }
@@ -243,7 +255,7 @@
     roster.recordStatus(info, datagram.self);
     this.#hasReply = true;
     if (this.#seeds.includes(ip)) this.#seeds = this.#seeds.filter((seed) => seed !== ip);
-    // The answer may have been on its way since the question was sent.
+    // The reply may have been in transit since the poll was sent.
     const elapsed = clock.now() - (this.#polledAt.get(ip) ?? clock.now());
     const { knowledge } = datagram;
     const { lastRead, presences } = knowledge;
@@ -259,8 +271,11 @@
   }
 }
 
-/** Who has not asked for this long does not wait for news. */
+/** A daemon that has not polled for this long gets no unsolicited state. */
 const PUSH_WINDOW_MS = 3000;
 
-/** Who looks to this daemon has asked it within this time: some questions, as datagrams get lost. */
+/**
+ * A daemon counts as a poller for this long after its last poll: several poll intervals, as
+ * datagrams get lost.
+ */
 const POLLER_WINDOW_MS = 1200;
--- a/src/peering/roster.ts
+++ b/src/peering/roster.ts
@@ -1,50 +1,52 @@
 /**
  * The daemons that this one knows, which of them answer, and which of those are homes.
  *
- * Homes are the entries that callers are sent to. Every daemon works them out by itself from the
- * same order, so no message is needed to agree; for a moment two daemons may disagree, which costs
- * some precision of counts and nothing else, because every daemon can serve every request.
+ * Homes are the daemons to which callers are sent. Each daemon computes them from the same ranking,
+ * so they need no messages to agree. Two daemons may disagree for a moment, which only makes counts
+ * less precise, because every daemon can serve every request.
  */
 import type { Clock } from '../kernel/index.js';
 import { getPairHash, spreadDomains } from '../balance/home.js';
 
-/** What a daemon says of itself. */
+/** A daemon's static properties. */
 export interface MemberInfo {
-  /** IP number; ports are alike on all VMs. */
+  /** IP address; the ports are the same on all VMs. */
   readonly ip: string;
+  /** Its failure domain. */
   readonly domain: string;
-  /** Cores, as a number that may be below 1. */
+  /** Cores; may be a fraction. */
   readonly capacity: number;
   /**
-   * Whether it runs since long, or since the very first start. One that was started anew leaves its
-   * homes' duty where that has gone: callers hold their answers, and a second move helps nobody.
+   * Whether it has run for long, or since the first start of the system. A restarted daemon does
+   * not take the role of a home back from its successor: callers cache the list of homes, and a
+   * second move would gain nothing.
    */
   readonly isSenior: boolean;
 }
 
-/** Whether a daemon serves callers. */
+/** Whether a daemon serves callers: not yet, now, or no more. */
 export type MemberState = 'starting' | 'ready' | 'stopping';
 
-/** What one daemon heard from another one itself. */
+/** The state of a daemon as another daemon observed it directly. */
 export interface Presence {
   readonly ip: string;
   readonly state: MemberState;
-  /** How long ago, in milliseconds. */
+  /** Time since it was observed, in milliseconds. */
   readonly age: number;
 }
 
-/** What a daemon says of itself when it answers. */
+/** What a daemon reports of its current state. */
 export interface MemberStatus {
   readonly state: MemberState;
-  /** The part of its time in which it was at work of late, from 0 to 1. */
+  /** Its recent utilisation: the fraction of time spent working, from 0 to 1. */
   readonly utilisation: number;
-  /** How many daemons look to it, each counted as the part of its questions that go there. */
+  /** How many daemons poll it, each counted as the fraction of its polls that go there. */
   readonly pollers: number;
 }
 
-/** How busy one home is. */
+/** The utilisation of one home. */
 export interface HomeUtilisation {
-  /** The part of its time in which it was at work of late, from 0 to 1. */
+  /** The fraction of recent time spent working, from 0 to 1. */
   readonly utilisation: number;
   /** Its cores. */
   readonly capacity: number;
@@ -55,68 +57,75 @@
   state: MemberState;
   utilisation: number;
   pollers: number;
-  /** When it last answered, here or to a daemon that passed that on. */
+  /** When it last answered this daemon, or another one that passed that on. */
   lastSeenAt: number;
-  /** When it last answered here. */
+  /** When it last answered this daemon. */
   lastAnsweredAt: number;
-  /** When it was last asked. */
+  /** When this daemon last polled it. */
   lastPolledAt: number;
 }
 
-/** What the plan of homes needs to know. */
+/** The dependencies of the roster, and the least size of the set of homes. */
 export interface RosterOptions {
   readonly clock: Clock;
   readonly self: MemberInfo;
   readonly readSelfState: () => MemberState;
-  /** How many homes there are, at least. */
+  /** The least number of homes. */
   readonly minHomes: number;
-  /** Cores that the homes have to bring together. */
+  /** The least number of cores that the homes have together. */
   readonly minHomeCapacity: number;
 }
 
-/** A daemon that has not answered for this long is not counted on: five questions, as datagrams get lost. */
+/**
+ * A daemon that has not answered for this long counts as silent: five polls, as datagrams get lost.
+ */
 const SILENCE_TIMEOUT_MS = 1200;
 
-/** Daemons asked besides the homes, so that a successor is known to be alive before it is needed. */
+/**
+ * How many daemons after the homes are polled with them, so that a successor is known to be alive
+ * when it is needed.
+ */
 const SUCCESSOR_COUNT = 2;
 
-/** How often a daemon that does not answer is asked again. */
+/** The interval at which a silent daemon is polled again. */
 const SILENT_POLL_INTERVAL_MS = 1000;
 
 /**
- * Daemons asked by one that is neither a home nor about to be: one may be lost without a gap in the news.
- * What they heard of the other homes they pass on, so a daemon's questions don't grow with the homes.
+ * How many daemons one polls that is neither a home nor a successor: one of them may fail without a
+ * gap in its updates. They pass on what they know of the other homes, so the number of polls does
+ * not grow with the homes.
  */
 const REMOTE_POLL_COUNT = 2;
 
 /**
- * Of the daemons that don't serve yet, and of those that don't answer, this many are asked in a round. While a
- * whole fleet starts nobody serves; with everybody asked that makes 390,000 questions a second of 312 daemons.
+ * The most daemons polled in a round that don't serve yet, and that don't answer. While a whole
+ * fleet starts, none serves; if each of 312 daemons polled all others, that would make 390,000
+ * polls a second.
  */
 const MAX_STARTING_POLLED = 3;
 const MAX_SILENT_POLLED = 3;
 
-/** Daemons that never answered are forgotten after this long. */
+/** Polled daemons that have not answered for this long are removed. */
 const FORGET_AFTER_MS = 120_000;
 
 /**
- * A home with less than this part of the strongest machine's cores costs the others more, in what they tell each other
- * and ask targets, than the calls that it takes from them.
+ * A home with a smaller fraction of the largest machine's cores costs the other homes more, in
+ * reports to each other and probes of targets, than the calls that it takes off them.
  */
 const MIN_HOME_CAPACITY_RATIO = 0.5;
 
-/** Capacities within one step of each other are alike, so that small differences move no home. */
+/** Capacities are ranked in steps of this many cores, so that small differences move no home. */
 const CAPACITY_STEP_CORES = 0.5;
 
 function isSameInfo(a: MemberInfo, b: MemberInfo): boolean {
   return a.domain === b.domain && a.capacity === b.capacity && a.isSenior === b.isSenior;
 }
 
-/** The daemons known. */
+/** The daemons that one daemon knows, itself included. */
 export class Roster {
   readonly #members = new Map<string, MemberEntry>();
 
-  /** Those that answered here of late. */
+  /** Members that answered this daemon recently. */
   readonly #answering = new Set<MemberEntry>();
 
   #ranked: readonly MemberInfo[] | undefined;
@@ -125,29 +134,29 @@
 
   #fingerprint = 0;
 
-  /** Failure domains in which daemons are known. */
+  /** The number of failure domains with known daemons. */
   #domainCount = 0;
 
   constructor(private readonly options: RosterOptions) {
     this.addMember(options.self);
   }
 
-  /** Everybody known, this daemon included. */
+  /** Lists all known daemons, this one included. */
   list(): readonly MemberInfo[] {
     return [...this.#members.values()].map(({ info }) => info);
   }
 
-  /** How many daemons are known, this one included. */
+  /** The number of known daemons, this one included. */
   get size(): number {
     return this.#members.size;
   }
 
-  /** A number that differs when two rosters do. */
+  /** A hash of the set of members, by which two rosters are compared. */
   readFingerprint(): number {
     return this.#fingerprint;
   }
 
-  /** Learns that a daemon exists; its own word replaces what others say. */
+  /** Adds a daemon, or replaces its known properties unless the new ones name no failure domain. */
   addMember(info: MemberInfo): void {
     const known = this.#members.get(info.ip);
     if (known === undefined) {
@@ -164,7 +173,7 @@
     known.info = info;
   }
 
-  /** Learns that a daemon answered, and what it said of itself. */
+  /** Records that a daemon answered, with the status that it reported. */
   recordStatus(info: MemberInfo, { state, utilisation, pollers }: MemberStatus): void {
     this.addMember(info);
     const member = this.#members.get(info.ip);
@@ -177,7 +186,7 @@
     member.pollers = pollers;
   }
 
-  /** Learns what another daemon heard; what was heard later, here or there, holds. */
+  /** Merges what another daemon observed; the later observation wins. */
   mergePresence({ ip, state, age }: Presence): void {
     const member = this.#members.get(ip);
     const seenAt = this.options.clock.now() - age;
@@ -186,7 +195,10 @@
     member.state = state;
   }
 
-  /** Lists what this daemon heard itself of late: of homes, successors, and others that it asked. */
+  /**
+   * Lists the daemons that answered this one recently: homes, successors, and others that it
+   * polled.
+   */
   listPresences(): readonly Presence[] {
     const now = this.options.clock.now();
     const presences: Presence[] = [];
@@ -199,27 +211,28 @@
   }
 
   /**
-   * How many homes are wanted for the load; the settings' own number holds where it is larger, and so does one
-   * home in each failure domain: it probes the targets there, and callers there reach it without crossing.
+   * The number of homes that the load needs. It is at least the number in the settings, and at
+   * least one for each failure domain, where it probes the targets and callers reach it without
+   * crossing to another domain.
    */
   get desiredHomes(): number {
     this.#rank();
     return Math.max(this.options.minHomes, this.#plannedHomes, this.#domainCount);
   }
 
-  /** How many machines are strong enough to be planned as homes. */
+  /** Counts the machines that are strong enough to be homes. */
   countHomeCandidates(): number {
     const capacities = this.list().map(({ capacity }) => capacity);
     const strongest = Math.max(...capacities);
     return capacities.filter((capacity) => capacity >= MIN_HOME_CAPACITY_RATIO * strongest).length;
   }
 
-  /** Takes the plan of the first home. */
+  /** Sets the number of homes that the first home has planned. */
   setDesiredHomes(homes: number): void {
     this.#plannedHomes = homes;
   }
 
-  /** How busy the other homes are, and of how many cores. */
+  /** Lists the utilisation of the other homes. */
   listHomeUtilisations(): readonly HomeUtilisation[] {
     return this.#listOtherHomes().map(({ utilisation, info }) => ({
       utilisation,
@@ -227,7 +240,7 @@
     }));
   }
 
-  /** How many daemons look to the other homes that answer here. */
+  /** Counts the daemons that poll the other homes, as far as those answer this daemon. */
   countPollersOfOtherHomes(): number {
     const since = this.options.clock.now() - SILENCE_TIMEOUT_MS;
     return this.#listOtherHomes().reduce(
@@ -236,7 +249,7 @@
     );
   }
 
-  /** The entries that callers are sent to, in order. */
+  /** Lists the homes in their order: the daemons to which callers are sent. */
   listHomes(): readonly MemberInfo[] {
     const homes: MemberInfo[] = [];
     let capacity = 0;
@@ -249,7 +262,7 @@
     return homes;
   }
 
-  /** Whether this daemon is a home or would be the next one: such know of each other at first hand. */
+  /** Whether this daemon is a home or a successor; these poll each other directly. */
   isNearHomes(): boolean {
     let serving = 0;
     const maxServing = this.desiredHomes + SUCCESSOR_COUNT;
@@ -262,10 +275,10 @@
   }
 
   /**
-   * Whom to ask now whether they are there. Homes and their successors ask one another; the others ask a
-   * few of them, those of their own failure domain first, and hear from these of the rest.
+   * Lists the daemons to poll now. Homes and their successors poll one another. The others poll a
+   * few homes, those of their own failure domain first, and learn from these about the rest.
    *
-   * @param silentInterval time between two questions to one that does not answer, in milliseconds
+   * @param silentInterval time between two polls of a silent daemon, in milliseconds
    */
   listToPoll(silentInterval = SILENT_POLL_INTERVAL_MS): readonly MemberInfo[] {
     const isNear = this.isNearHomes();
@@ -295,7 +308,11 @@
     return polled;
   }
 
-  /** Forgets daemons that have not answered for long. @param keep those that stay all the same */
+  /**
+   * Removes daemons that have not answered for long.
+   *
+   * @param keep addresses of daemons that stay in any case
+   */
   forgetSilent(keep: ReadonlySet<string>): void {
     const now = this.options.clock.now();
     for (const [ip, { lastSeenAt, lastPolledAt }] of this.#members) {
@@ -316,7 +333,10 @@
     return others;
   }
 
-  /** Homes first, in an order of this daemon's own, so that each gets its part of the questions. */
+  /**
+   * Yields homes first, in an order that differs between daemons, so that the polls spread over the
+   * homes.
+   */
   *#listPollCandidates(): Iterable<MemberInfo> {
     const { self } = this.options;
     const computePreference = (info: MemberInfo) =>
@@ -336,7 +356,10 @@
     return this.options.clock.now() - member.lastSeenAt <= SILENCE_TIMEOUT_MS;
   }
 
-  /** The order in which daemons become homes: strong ones first, then senior ones, then by hash; domains in turn. */
+  /**
+   * Ranks the daemons as homes: by capacity, then senior ones first, then by hash, with failure
+   * domains in turn.
+   */
   #rank(): readonly MemberInfo[] {
     if (this.#ranked !== undefined) return this.#ranked;
     const countCapacitySteps = (info: MemberInfo) =>
@@ -359,7 +382,7 @@
 
 const FINGERPRINT_MODULUS = 1_000_003;
 
-/** Length of the numbers that pairs are hashed to. */
+/** Length of the hash of a pair, in bits. */
 const HASH_BITS = 48;
 
 function hashMember(ip: string): number {
