--- a/src/routing/index.ts
+++ b/src/routing/index.ts
@@ -1,3 +1,5 @@
-/** Which service a request goes to: routes by host and path, and shares of a split. */
+/**
+ * Decides which service a request goes to: routes by host and path, and traffic splits by weight.
+ */
 export * from './route.js';
 export * from './split.js';
--- a/src/routing/route.ts
+++ b/src/routing/route.ts
@@ -1,48 +1,52 @@
-/** Routes: what operators decided about requests, as one immutable value for each version. */
-
 /**
- * Whether a request may run more than once. `upload` may not, and its body is large.
+ * The operators' routes and services, as one immutable table for each version of the configuration.
  */
+
+/** Whether a request may run more than once. An `upload` may not, and has a large body. */
 export type RequestKind = 'repeatable' | 'once' | 'upload';
 
-/** One service of a split and its weight. */
+/** One service of a traffic split and its weight. */
 export interface Share {
   readonly service: string;
   readonly weight: number;
 }
 
-/** What is done with the requests under one path prefix of a host. Times are in milliseconds. */
+/** How requests under one path prefix of a host are handled. Times are in milliseconds. */
 export interface Route {
   readonly name: string;
   readonly kind: RequestKind;
   readonly pathPrefix: string;
-  /** Where requests go; more than one entry is a split by weight. */
+  /** The services that requests go to; with more than one, they are split by weight. */
   readonly shares: readonly Share[];
-  /** Longest time for which a request is held. */
+  /** The longest time for which a request is held. */
   readonly timeout: number;
   /** The time within which an answer is fully useful to the caller. */
   readonly targetLatency: number;
-  /** Most targets that one request may be sent to. */
+  /** The most targets to which one request may be sent. */
   readonly maxAttempts: number;
-  /** 0 is the most urgent. */
+  /** The priority of its requests; 0 is the most urgent. */
   readonly priority: number;
-  /** The regions in which its requests may run; undefined where they may run anywhere. */
+  /** The regions in which its requests may run; undefined when they may run anywhere. */
   readonly regions?: readonly string[];
 }
 
-/** What is known of a service besides its targets. */
+/** A service's configuration. */
 export interface ServiceSpec {
   readonly name: string;
+  /** The path of health probes. */
   readonly healthPath: string;
-  /** Most connections that one target accepts from everybody together. */
+  /** The most connections that one target accepts from all daemons together. */
   readonly maxConnections: number;
-  /** Requests a second that a cold target bears, from all daemons together; Infinity where nobody says. */
+  /**
+   * Requests per second that a cold target can handle from all daemons together; Infinity when not
+   * configured.
+   */
   readonly coldRate: number;
   /** For how long a target is cold after a start, in milliseconds. */
   readonly coldTime: number;
 }
 
-/** What a caller may send and how long it may take; bytes and milliseconds. */
+/** Limits on what a caller sends, in bytes, and on how long it takes to, in milliseconds. */
 export interface RequestLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
@@ -50,7 +54,7 @@
   readonly idleTimeout: number;
 }
 
-/** One version of the operators' configuration. Versions grow, by uneven steps. */
+/** One version of the operators' configuration. Versions increase, but not always by one. */
 export class RouteTable {
   readonly #routes: ReadonlyMap<string, readonly Route[]>;
 
@@ -61,7 +65,7 @@
     routes: ReadonlyMap<string, readonly Route[]>,
     services: readonly ServiceSpec[],
     readonly limits: RequestLimits,
-    /** Parts that could not be read; what stands in for them is in force. */
+    /** Descriptions of the parts that could not be decoded, for which defaults are in force. */
     readonly warnings: readonly string[] = [],
   ) {
     const byLength = (a: Route, b: Route) => b.pathPrefix.length - a.pathPrefix.length;
@@ -71,7 +75,10 @@
     this.#services = new Map(services.map((service) => [service.name, service]));
   }
 
-  /** Finds the route of a request: the longest prefix of its path among the routes of its host. */
+  /**
+   * Finds the route of a request: the one with the longest prefix of its path among the routes of
+   * its host.
+   */
   findRoute(host: string, path: string): Route | undefined {
     for (const route of this.#routes.get(host.toLowerCase()) ?? []) {
       if (path.startsWith(route.pathPrefix)) return route;
@@ -79,12 +86,12 @@
     return undefined;
   }
 
-  /** Finds what is known of a service. */
+  /** Finds the configuration of a service. */
   findService(name: string): ServiceSpec | undefined {
     return this.#services.get(name);
   }
 
-  /** The services, in the order of the configuration. */
+  /** Lists the services in the order of the configuration. */
   listServices(): readonly ServiceSpec[] {
     return [...this.#services.values()];
   }
--- a/src/routing/split.ts
+++ b/src/routing/split.ts
@@ -1,4 +1,7 @@
-/** Chooses the service of a split so that the shares follow the weights at every moment. */
+/**
+ * Splits the traffic of a route over several services so that it follows the weights at every
+ * moment.
+ */
 import type { Route, Share } from './route.js';
 
 interface WeightedShare {
@@ -7,16 +10,22 @@
 }
 
 /**
- * Deals the requests of each route over its shares by smooth weighted round robin: after n requests
- * each share has had its part of n to within one, so the sum over all daemons is exact as well.
+ * Distributes the requests of each route over its services by smooth weighted round robin: after n
+ * requests each service has got its share of n to within one, so the totals over all daemons are
+ * accurate as well.
  */
 export class TrafficSplitter {
   readonly #splits = new Map<string, readonly WeightedShare[]>();
 
-  /** @param draw returns a number in [0, 1); it sets where each daemon begins */
+  /**
+   * @param draw returns a random number in [0, 1), so that daemons start at different points of the
+   * rotation
+   */
   constructor(private readonly draw: () => number) {}
 
-  /** Returns the service that gets the next request of a route; undefined when no weight is left. */
+  /**
+   * Returns the service that gets the next request of a route; undefined when all weights are 0.
+   */
   pick(route: Route): string | undefined {
     if (route.shares.length === 1) return route.shares[0].service;
     const split = this.#findSplit(route);
@@ -44,5 +53,5 @@
   }
 }
 
-/** Splits remembered; operators change weights now and then, and old ones are of no use. */
+/** The most splits kept. Each change of weights adds one, and earlier ones are no longer used. */
 const MAX_CACHED_SPLITS = 2000;
