--- a/test/feed.test.ts
+++ b/test/feed.test.ts
@@ -6,7 +6,7 @@
 
 const REQUEST = { position: { targets: 1, configuration: 1, evacuations: 0 }, members: 0 };
 
-describe('news of another daemon', () => {
+describe('fetching changes from another daemon', () => {
   const servers: http.Server[] = [];
   let port = 0;
   afterEach(() => {
@@ -16,7 +16,10 @@
     }
   });
 
-  /** Starts a daemon's feed on an address of its own; a silent one takes the question and says nothing. */
+  /**
+   * Starts a daemon's feed on an address of its own; a silent one accepts requests and never
+   * responds.
+   */
   async function startFeed(host: string, isSilent: boolean): Promise<void> {
     const server = http.createServer((_request, response) => {
       const left = [{ incarnation: host, revision: 2 }];
@@ -35,8 +38,9 @@
     port = (server.address() as AddressInfo).port;
   }
 
-  // A daemon that waits for a frozen one alone acts late on targets that leave and on configurations.
-  it('is asked of a second one at once, as the first may be frozen', async () => {
+  // A daemon that waits only for a frozen one acts late on removed targets and on new
+  // configurations.
+  it('asks a second daemon at once, because the first may be frozen', async () => {
     port = 0;
     await startFeed('127.0.8.1', true);
     await startFeed('127.0.8.2', false);
@@ -54,7 +58,7 @@
     await silent;
   });
 
-  it('comes packed where it is long, and as it is where it is short', async () => {
+  it('compresses long responses and sends short ones uncompressed', async () => {
     const address = { host: '127.0.8.3', port: 18_399 };
     const makeLeft = (count: number) =>
       Array.from({ length: count }, (_, index) => ({ incarnation: `i-${index}`, revision: 2 }));
@@ -86,8 +90,8 @@
     }
     expect(heard).to.deep.equal([makeLeft(2), makeLeft(500)]);
   });
-  // Hundreds of daemons that start together each get the list of hundreds of targets.
-  it('is asked of one at a time for the whole list, and of another soon when that one is silent', async () => {
+  // Hundreds of daemons that start together each fetch the list of hundreds of targets.
+  it('fetches the whole list from one daemon at a time, and soon asks another if that one is silent', async () => {
     port = 0;
     await startFeed('127.0.8.1', true);
     await startFeed('127.0.8.2', false);
--- a/test/helpers/news-fleet.ts
+++ b/test/helpers/news-fleet.ts
@@ -1,4 +1,7 @@
-/** Daemons that tell each other what the store holds, in one process and on a clock that the test moves. */
+/**
+ * A fleet of daemons that exchange what the store holds, in one process and on a clock that the
+ * test advances.
+ */
 import { setMaxListeners } from 'node:events';
 import { KnowledgeExchange } from '../../src/gateway/fleet/knowledge-exchange.js';
 import { ManualClock, createSeededRandom, createSilentLog } from '../../src/kernel/index.js';
@@ -13,32 +16,35 @@
 import { writeConfiguration, writeTarget } from '../../src/standin/index.js';
 import { FleetView, StoreReader, planPropagation } from '../../src/view/index.js';
 
-/** Within this time of its acknowledgement a change is to be in force, in milliseconds. */
+/** The promised time from the acknowledgement of a change until it is in force everywhere. */
 export const PROPAGATION_LIMIT_MS = 2000;
 
 const ADDRESS = { host: '10.0.0.9', port: 80 };
 
-/** Time for which a call to the store waits for an answer, besides a watch's own. */
+/** How long a call to the store waits for an answer, in addition to a watch's own timeout. */
 const STORE_TIMEOUT_MS = 1000;
 
-/** Longest wait for an answer of another daemon. */
+/** How long a fetch from another daemon waits for a response. */
 const FEED_TIMEOUT_MS = 600;
 
 const READER_COUNT = 2;
 
-/** What is slow or broken in a fleet; times in milliseconds. */
+/** Delays in a fleet, in milliseconds. */
 export interface FleetFaults {
-  /** One way between two daemons. */
+  /** One-way delay between two daemons. */
   readonly link?: number;
-  /** One way to the store and through it. */
+  /** One-way delay to or from the store, its processing included. */
   readonly store?: number;
-  /** For how long each daemon lets lie what has come. */
+  /** How long a received message waits until the daemon handles it. */
   readonly lag?: number;
 }
 
 type Wake = () => void;
 
-/** A store in memory: it hears no daemon that it is cut from, and answers none that it was cut from meanwhile. */
+/**
+ * A store in memory. It answers no call of a daemon that was disconnected at any time during the
+ * call.
+ */
 class MemoryStore {
   readonly items = new Map<string, StoredItem>();
 
@@ -46,7 +52,7 @@
 
   readonly #waiters = new Set<Wake>();
 
-  /** Calls of each daemon. */
+  /** The number of calls by each daemon. */
   readonly calls = new Map<string, number>();
 
   #revision = 0;
@@ -66,7 +72,7 @@
     for (const wake of [...this.#waiters]) wake();
   }
 
-  /** From now on a daemon gets no answer, until it is joined again. */
+  /** Cuts a daemon off: it gets no answer until it is reconnected. */
   disconnect(ip: string): void {
     this.#disconnectedUntil.set(ip, Infinity);
   }
@@ -75,7 +81,7 @@
     this.#disconnectedUntil.set(ip, this.clock.now());
   }
 
-  /** Whether what was sent at a time brings no answer. */
+  /** Whether a call sent at a given time gets no answer. */
   #isLost(ip: string, sentAt: number): boolean {
     const until = this.#disconnectedUntil.get(ip) ?? -Infinity;
     return until === Infinity || sentAt <= until;
@@ -124,13 +130,13 @@
   }
 }
 
-/** One daemon: what it knows, and how it learns it. */
+/** One daemon: its view, its roster, and the exchange that keeps them up to date. */
 class TestDaemon {
   readonly view: FleetView;
 
   readonly roster: Roster;
 
-  /** When each version came into force here. */
+  /** When each version of the configuration came into force here. */
   readonly adopted = new Map<number, number>();
 
   isGone = false;
@@ -185,7 +191,7 @@
     });
   }
 
-  /** Whether it reads the store for all. */
+  /** Whether it is one of the daemons that read the store for all. */
   get isReader(): boolean {
     const readers = this.roster.listHomes().slice(0, READER_COUNT);
     return readers.some(({ ip }) => ip === this.ip);
@@ -275,7 +281,7 @@
     this.store.put(KEYS.configuration, writeConfiguration(version, [{ prefix: '/a/' }]));
   }
 
-  /** Lets the target say in its entry that it drains. */
+  /** Writes the target's entry with the state `draining`. */
   drain(): void {
     this.store.put(`${KEYS.targets}i`, writeTarget(ADDRESS, { state: 'draining' }));
   }
@@ -291,7 +297,7 @@
     return this.daemons.filter(({ isReader }) => isReader);
   }
 
-  /** The way from one daemon to another, until it is looked at there. */
+  /** Waits for as long as a message takes from one daemon until another one handles it. */
   async delayMessage(): Promise<void> {
     const { link = 1, lag = 0 } = this.faults;
     await this.clock.sleep(link + lag);
@@ -300,7 +306,7 @@
   async fetch(to: TestDaemon, from: string, { position }: FeedRequest): Promise<boolean> {
     const other = this.find(from);
     const startedAt = this.clock.now();
-    // The first two ways open the connection.
+    // The first two messages open the connection.
     for (let way = 0; way < 3; way += 1) await this.delayMessage();
     if (other.isGone) {
       await this.clock.sleep(Math.max(0, startedAt + FEED_TIMEOUT_MS - this.clock.now()));
--- a/test/news.test.ts
+++ b/test/news.test.ts
@@ -2,22 +2,22 @@
 import { computeMaxPropagationDelay, planPropagation } from '../src/view/index.js';
 import { type FleetFaults, TestFleet, PROPAGATION_LIMIT_MS } from './helpers/news-fleet.js';
 
-/** What is to be left of that, whatever happens. */
+/** A change is to be in force at least this long before the limit. */
 const MARGIN_MS = 100;
 
-/** Daemons are bound again this long after the store was away. */
+/** The propagation limit holds again this long after an outage of the store. */
 const RECOVERY_MS = 3000;
 
 const SEEDS = [1, 2, 3];
 
 const PHASES_MS = [0, 170, 340, 510, 680, 850];
 
-/** A change is written after what happens to the store and the daemons. */
+/** What happens to the store and the daemons before a change is written. */
 interface Scenario {
   readonly faults?: FleetFaults;
-  /** What happens; returns the time before which nobody is bound. */
+  /** Causes the fault; returns the time before which the propagation limit does not hold. */
   readonly run: (fleet: TestFleet) => Promise<number> | number;
-  /** Time from then to the change, besides the phase. */
+  /** Time from the fault to the change, in milliseconds; the phase comes on top. */
   readonly pause: number;
 }
 
@@ -44,26 +44,30 @@
 const SLOW: FleetFaults = { link: 15, store: 30, lag: 20 };
 
 const SCENARIOS: Readonly<Record<string, Scenario>> = {
-  'on a quiet day': { run: () => 0, pause: 0 },
-  'over slow links, at slow machines': { run: () => 0, pause: 0, faults: SLOW },
-  'after the store was silent': { run: (fleet) => breakStore(fleet, 6000), pause: 2000 },
-  'after the store was silent for a moment': {
+  'without faults': { run: () => 0, pause: 0 },
+  'over slow links and on slow machines': { run: () => 0, pause: 0, faults: SLOW },
+  'after an outage of the store': { run: (fleet) => breakStore(fleet, 6000), pause: 2000 },
+  'after a short outage of the store': {
     run: (fleet) => breakStore(fleet, 700),
     pause: 1000,
   },
-  'after the store was silent, over slow links': {
+  'after an outage of the store, over slow links': {
     ...{ run: (fleet: TestFleet) => breakStore(fleet, 6000), pause: 2000, faults: SLOW },
   },
-  'when those that read for all hear nothing from the store': { run: cutOffReaders, pause: 0 },
-  'when they hear nothing, over slow links': { run: cutOffReaders, pause: 0, faults: SLOW },
-  'when those that read for all have just been killed': { run: stopReaders, pause: 0 },
-  'when they have just been killed, over slow links': {
+  'when the readers are cut off from the store': { run: cutOffReaders, pause: 0 },
+  'when the readers are cut off from the store, over slow links': {
+    run: cutOffReaders,
+    pause: 0,
+    faults: SLOW,
+  },
+  'when the readers have just been killed': { run: stopReaders, pause: 0 },
+  'when the readers have just been killed, over slow links': {
     ...{ run: stopReaders, pause: 0, faults: SLOW },
   },
 };
 
-// Guards against a change that some daemon has not in force in time, because those that read the store for all are not
-// told of it and nobody notices.
+// Guards against a change that comes into force late on some daemon, because the daemons that read
+// the store for all don't get it and no other daemon notices.
 describe('a change in the store', () => {
   for (const [what, { faults, run, pause }] of Object.entries(SCENARIOS)) {
     it(`is in force in time ${what}`, async () => {
@@ -78,7 +82,7 @@
             const writtenAt = fleet.clock.now();
             fleet.configure(2);
             await fleet.clock.advance(300);
-            // A second one within the second, which all are told of after the first.
+            // A second change within the same second, which reaches the daemons after the first.
             fleet.configure(3);
             fleet.drain();
             const due = Math.max(writtenAt + PROPAGATION_LIMIT_MS, bound) - MARGIN_MS;
@@ -105,17 +109,17 @@
   }
 });
 
-describe('the times by which changes come to every daemon', () => {
-  /** A slow machine behind a slow link, and a busy store. */
+describe('the propagation times', () => {
+  /** A slow machine behind a slow link, and a busy store; in milliseconds. */
   const DELAYS = { hop: 35, storeCall: 110 };
 
   for (const promised of [2000, 2500, 3000, 18_000]) {
     const times = planPropagation(promised);
 
-    it(`bring one within ${promised} ms, with a tenth to spare, from silent readers`, () => {
+    it(`bring a change to every daemon in 0.9 * ${promised} ms although the readers have failed`, () => {
       expect(computeMaxPropagationDelay(times, DELAYS)).to.be.lessThan(0.9 * promised);
     });
-    it(`take no reader for silent that is well: ${promised} ms`, () => {
+    it(`don't take a working reader for a failed one: ${promised} ms`, () => {
       const oldest =
         times.watchTimeout + DELAYS.storeCall + times.nearPollInterval + 2 * DELAYS.hop;
       expect(oldest).to.be.lessThan(times.nearMaxAge);
@@ -123,7 +127,7 @@
     });
   }
 
-  it('leave the store to two readers on a quiet day, at two calls a second at most', async () => {
+  it('let only two daemons call the store while nothing fails, at most twice a second each', async () => {
     const fleet = new TestFleet(1);
     await fleet.clock.advance(3000);
     fleet.store.calls.clear();
--- a/test/regions.test.ts
+++ b/test/regions.test.ts
@@ -1,4 +1,7 @@
-/** Routes whose requests may run in some regions only, and callers who are told of the daemons of their own. */
+/**
+ * Routes whose requests may run only in some regions, and callers that are sent to daemons of their
+ * own region.
+ */
 import { expect } from 'chai';
 import { pause } from '../src/demo/index.js';
 import { Site, askDirectory, callersPort, sendTo } from './helpers/gateways.js';
@@ -30,7 +33,7 @@
     return ip;
   }
 
-  it('a request runs only in the regions of its route, however often it is tried', async () => {
+  it('a request runs only in the regions of its route, however often it is retried', async () => {
     const ip = await startGateway('d1', 'r1');
     for (const target of [here, there]) {
       target.behaviour = (_, response) =>
@@ -41,13 +44,13 @@
     expect(there.ran).to.have.length(10);
   });
 
-  it('a request whose regions have no target is refused truthfully', async () => {
+  it('a request whose regions have no target is refused with 503 and runs nowhere', async () => {
     const ip = await startGateway('d1', 'r1');
     expect((await sendTo(ip, { path: '/nowhere/1' })).status).to.equal(503);
     expect([...here.ran, ...there.ran]).to.have.length(0);
   });
 
-  it('regions that cannot be read cost a line, and bind nobody', async () => {
+  it('regions that cannot be decoded are logged once and restrict no request', async () => {
     const ip = await startGateway('d1', 'r1');
     expect((await sendTo(ip, { path: '/odd/1' })).status).to.equal(200);
     const told = site.events.filter(({ event }) => event === 'configuration.unreadable');
@@ -56,7 +59,7 @@
     ]);
   });
 
-  it('callers are told of the daemons of their own region, and of others when it has none', async () => {
+  it('callers are sent to the daemons of their own region, and to others when it has none', async () => {
     const first = await startGateway('d1', 'r1');
     const second = await startGateway('d2', 'r2', [first]);
     await pause(1500);
--- a/test/routing.test.ts
+++ b/test/routing.test.ts
@@ -11,7 +11,7 @@
 }
 
 describe('routes', () => {
-  describe('finding one', () => {
+  describe('lookup', () => {
     const table = decodeTable(
       writeConfiguration(3, [{ prefix: '/a/' }, { prefix: '/a/b/' }, { prefix: '/c/' }]),
     );
@@ -23,18 +23,18 @@
       ['/d/x', undefined],
       ['/', undefined],
     ] as const) {
-      it(`${path} goes by ${name ?? 'no route'}`, () => {
+      it(`${path} matches ${name ?? 'no route'}`, () => {
         expect(table.findRoute(HOST, path)?.name).to.equal(name);
       });
     }
-    it('knows no other host, and takes a host in any case', () => {
+    it('finds nothing for an unknown host, and ignores the case of host names', () => {
       expect(table.findRoute('other.example', '/a/x')).to.equal(undefined);
       expect(table.findRoute(HOST.toUpperCase(), '/a/x')?.name).to.equal('r/a/');
     });
   });
 
   describe('decoding', () => {
-    it('reads limits, kinds and times', () => {
+    it('decodes limits, kinds and times', () => {
       const table = decodeTable(
         writeConfiguration(7, [{ prefix: '/u/', kind: 'unsafe', timeout: 900 }]),
       );
@@ -49,13 +49,13 @@
       ['no listeners', '{"version":1}'],
       ['an unknown kind', writeConfiguration(1, [{ prefix: '/a/', kind: 'odd' as 'safe' }])],
     ] as const) {
-      it(`says what is wrong with ${what}`, () => {
+      it(`reports a fault and what was expected: ${what}`, () => {
         const fault = decodeConfiguration(text);
         expect(fault).to.have.property('kind', 'fault');
         expect(fault).to.have.property('expected').that.is.not.equal('');
       });
     }
-    it('reads a target, and refuses one without an address', () => {
+    it('decodes a target, and rejects one without an address', () => {
       const record = decodeTarget('i-1', writeTarget({ host: '10.0.0.1', port: 80 }, { cold: 9 }));
       expect(record).to.include({ incarnation: 'i-1', service: 'alpha', slots: 4, coldLeft: 9 });
       expect(decodeTarget('i-1', '{"info":{},"status":{}}')).to.have.property('kind', 'fault');
@@ -66,7 +66,7 @@
       ['x', undefined],
       ['-1,0,6', undefined],
     ] as const) {
-      it(`reads the load "${text}"`, () => expect(parseLoad(text)).to.deep.equal(report));
+      it(`parses the load report "${text}"`, () => expect(parseLoad(text)).to.deep.equal(report));
     }
   });
 
@@ -100,7 +100,7 @@
         { numRuns: 50, seed: 7 },
       );
     });
-    it('gives nothing to a share without weight', () => {
+    it('sends nothing to a service of weight 0', () => {
       const dealer = new TrafficSplitter(() => 0.5);
       const services = new Set(Array.from({ length: 20 }, () => dealer.pick(route([0, 3]))));
       expect([...services]).to.deep.equal(['s1']);
--- a/test/view.test.ts
+++ b/test/view.test.ts
@@ -10,7 +10,7 @@
 
 const ADDRESS = { host: '10.0.0.1', port: 80 };
 
-/** A store in memory whose answers are set by the test, call by call. */
+/** A store in memory whose answers the test sets through its fields. */
 class ScriptedStore implements KvReader {
   targets: Record<string, { readonly text: string; readonly revision: number }> = {};
 
@@ -26,7 +26,7 @@
 
   calls = 0;
 
-  /** How long each watch was to wait. */
+  /** The timeouts of the watches so far. */
   readonly waits: number[] = [];
 
   async readItem() {
@@ -61,7 +61,7 @@
     return { kind: 'events', events, storeRevision: this.revision };
   }
 
-  /** Writes or removes a target's entry, for range and watch alike. */
+  /** Writes or removes a target's entry, as seen by reads and by watches. */
   change(id: string, text: string | undefined): void {
     this.revision += 1;
     const { revision } = this;
@@ -77,8 +77,8 @@
 }
 
 describe('the view of a daemon', () => {
-  describe('as news comes in any order', () => {
-    it('never takes an older configuration, by revision or by version', () => {
+  describe('with updates in any order', () => {
+    it('never adopts a configuration of an older revision or version', () => {
       const view = createView();
       view.setConfiguration(writeConfiguration(9, [{ prefix: '/new/' }]), 50);
       view.setConfiguration(writeConfiguration(7, [{ prefix: '/old/' }]), 40);
@@ -86,13 +86,13 @@
       expect(view.table?.version).to.equal(9);
       expect(view.table?.findRoute(HOST, '/old/')).to.equal(undefined);
     });
-    it('keeps the configuration in force when a newer one cannot be read', () => {
+    it('keeps the configuration in force when a newer one cannot be decoded', () => {
       const view = createView();
       view.setConfiguration(writeConfiguration(1, [{ prefix: '/a/' }]), 5);
       view.setConfiguration('{', 6);
       expect(view.table?.version).to.equal(1);
     });
-    it('a removal that is heard of late does not undo a later entry, nor the reverse', () => {
+    it('a late removal does not undo a newer entry, nor a late entry a newer removal', () => {
       const view = createView();
       const record = { incarnation: 'i', service: 'alpha', address: ADDRESS, domain: 'd' };
       const full = { ...record, slots: 1, state: 'ready' as const, coldLeft: 0, born: 0 };
@@ -105,7 +105,7 @@
       view.putTarget(full, 13, 0);
       expect(view.listTargets()).to.have.length(1);
     });
-    it('a beat that says nothing new moves no revision', () => {
+    it('a heartbeat without changes moves no revision', () => {
       const view = createView();
       const record = { incarnation: 'i', service: 'alpha', address: ADDRESS, domain: 'd' };
       view.putTarget({ ...record, slots: 1, state: 'ready', coldLeft: 5, born: 0 }, 10, 0);
@@ -116,8 +116,8 @@
     });
   });
 
-  describe('passed on from daemon to daemon', () => {
-    it('a whole or a partial delta brings the other to the same view', () => {
+  describe('sent from daemon to daemon', () => {
+    it('a whole and a partial delta both bring the receiver to the same view', () => {
       const [one, other] = [createView(), createView()];
       const base = {
         service: 'alpha',
@@ -145,10 +145,10 @@
   });
 });
 
-describe('two watches that bring news in another order than the store made it', () => {
-  // Found on the users' bench: a target drained at revision 61, the configuration changed at 62 and
-  // was heard of first; daemons that had heard of 62 never asked for 61.
-  it('a change of a target is passed on after a later change of the configuration', () => {
+describe('changes that arrive in another order than the store made them', () => {
+  // Guards against lost changes: a target drains at revision 61, and the change of the
+  // configuration at 62 arrives first. Daemons that know 62 must still fetch 61.
+  it('passes on a change of a target after a later change of the configuration', () => {
     const [one, other] = [createView(), createView()];
     const base = {
       service: 'alpha',
@@ -170,8 +170,8 @@
   });
 });
 
-describe('the duty to read', () => {
-  it('falls to appointed homes, and to a daemon to which nobody tells anything', async () => {
+describe('the role of reader', () => {
+  it('falls to designated homes, and to a daemon that learns of no recent read', async () => {
     const clock = new ManualClock();
     let isAppointed = false;
     const place = { isDesignated: () => isAppointed, isNearHomes: () => true };
@@ -189,8 +189,9 @@
     isAppointed = true;
     expect(duty.isReader()).to.equal(true);
   });
-  // Seen on the users' platform: all watches were cut at once, and each of 121 daemons read all targets anew.
-  it('falls to the homes and those next to them before the daemons that hear them', async () => {
+  // Guards against all daemons reading at once: when all watches broke together, each of 121
+  // daemons read all targets.
+  it('falls to the homes and their successors before the daemons that poll them', async () => {
     const clock = new ManualClock();
     const createDuty = (isNear: boolean) => {
       const duty = new ReaderRole(
@@ -209,14 +210,14 @@
     }
     expect([near, remote, alone].map((duty) => duty.isReader())).to.deep.equal([true, false, true]);
     expect(remote.getMaxBackoff()).to.be.greaterThan(near.getMaxBackoff());
-    // A leaving target has to be known within 2.5 s of the last reading.
+    // A removed target has to be known within 2.5 s of the last read.
     for (let turn = 0; turn < 7; turn += 1) {
       remote.recordAnswer();
       await clock.advance(100);
     }
     expect(remote.isReader()).to.equal(true);
   });
-  it('is left to others for a moment by a daemon that starts', async () => {
+  it('is not taken by a starting daemon for a short while', async () => {
     const clock = new ManualClock();
     const duty = new ReaderRole(
       clock,
@@ -231,7 +232,7 @@
 });
 
 describe('a daemon that has just begun to serve', () => {
-  it('does not read because it has not heard yet that others are homes before it', async () => {
+  it('does not read before it can know which other daemons rank before it as homes', async () => {
     const clock = new ManualClock();
     let knowsOthers = false;
     const duty = new ReaderRole(
@@ -250,7 +251,7 @@
       knowsOthers = turn >= 2;
     }
   });
-  it('reads as an appointed one soon, and at once where nobody tells it anything', async () => {
+  it('reads soon when it is designated, and at once when it learns of no read', async () => {
     const clock = new ManualClock();
     const duty = new ReaderRole(
       clock,
@@ -309,8 +310,9 @@
       view.listTargets().find(({ record }) => record.incarnation === 'i2')?.record.state,
     ).to.equal('draining');
   });
-  // Found on the users' bench: after a stale reading the first proof came with the end of a long watch.
-  it('proves a stale reading by a watch that does not wait', async () => {
+  // Guards against a late start: after a stale read the first confirmation came with the end of a
+  // long watch.
+  it('confirms a stale read by a watch that does not wait', async () => {
     isReader = false;
     const reader = startReader();
     await reader.readStale();
@@ -325,17 +327,17 @@
     await clock.advance(10_000);
     expect(store.calls).to.equal(0);
   });
-  it('reads at a pace that does not follow the changes', async () => {
+  it('makes no more calls when there are many changes', async () => {
     startReader();
     for (let beat = 0; beat < 200; beat += 1) {
       store.change('i1', writeTarget(ADDRESS, { seq: beat }));
       await clock.advance(50);
     }
-    // Ten seconds: 50 readings of the targets at most, and 67 of the configuration, whose watches
-    // are answered at once here.
+    // In ten seconds: at most 50 reads of the targets, and 67 of the configuration, whose watches
+    // this store answers at once.
     expect(store.calls).to.be.lessThan(52 + 70);
   });
-  it('reads everything anew when the history is gone, and sees what left meanwhile', async () => {
+  it('reads everything again when the history is gone, and notices targets removed meanwhile', async () => {
     startReader();
     await clock.advance(500);
     store.hasHistory = false;
@@ -346,9 +348,10 @@
     expect(view.table?.version).to.equal(5);
   });
 
-  // Whole lists come in pages that are no snapshot. What changed on an earlier page while a later one was read has an
-  // older revision than what that one brought, and daemons that had heard of the later one never asked for it.
-  it('passes on what changed on an earlier page while a later one was read', async () => {
+  // The pages of a list are no snapshot. A change on an earlier page while a later page is read has
+  // an older revision than the entries of that later page; daemons that know the later revision
+  // must still fetch it.
+  it('passes on changes on an earlier page while a later one was read', async () => {
     const write = (id: string, revision: number, state: string) => ({
       ...{ key: KEYS.targets + id, text: writeTarget(ADDRESS, { state }), revision },
     });
@@ -400,7 +403,7 @@
   });
 
   describe('through an outage', () => {
-    it('keeps entries that lapsed until two seconds after it, and drops those not back', async () => {
+    it('keeps lapsed entries until two seconds after it, then drops those not written again', async () => {
       startReader();
       await clock.advance(500);
       store.isDown = true;
@@ -414,9 +417,9 @@
       await clock.advance(2000);
       expect(listIds()).to.have.members(['i1', 'i3']);
     });
-    // Guards against an outage that never ends for a daemon that others have read for since: what left long after it was
-    // taken for an entry that had lapsed, and stayed in use for two seconds.
-    it('drops an entry at once that left after others had read for it', async () => {
+    // Guards against an outage that never ends for a daemon while others read for it: a target
+    // removed long after the outage was taken for a lapsed entry and stayed in use for two seconds.
+    it('drops an entry at once that was removed after others had read meanwhile', async () => {
       startReader();
       await clock.advance(500);
       store.isDown = true;
@@ -430,7 +433,7 @@
       await clock.advance(500);
       expect(listIds()).to.have.members(['i2', 'i3']);
     });
-    it('drops an entry at once that left after the outage was over for long', async () => {
+    it('drops an entry at once that was removed long after the outage', async () => {
       startReader();
       await clock.advance(500);
       store.isDown = true;
@@ -441,7 +444,7 @@
       await clock.advance(800);
       expect(listIds()).to.have.members(['i2', 'i3']);
     });
-    it('proves nothing meanwhile', async () => {
+    it('does not confirm the view during the outage', async () => {
       startReader();
       await clock.advance(1000);
       const { provenAt } = view;
