--- a/test/feed.test.ts
+++ b/test/feed.test.ts
@@ -44,15 +44,15 @@
     port = 0;
     await startFeed('127.0.8.1', true);
     await startFeed('127.0.8.2', false);
-    const heard: unknown[] = [];
+    const received: unknown[] = [];
     const client = new FeedClient(new ManualClock(), port, ({ delta }) =>
-      heard.push(...delta.left.map(({ incarnation }) => incarnation)),
+      received.push(...delta.left.map(({ incarnation }) => incarnation)),
     );
     const silent = client.fetchChanges('127.0.8.1', REQUEST);
     const startedAt = performance.now();
     expect(await client.fetchChanges('127.0.8.2', REQUEST)).to.equal(true);
     expect(performance.now() - startedAt).to.be.lessThan(400);
-    expect(heard).to.deep.equal(['127.0.8.2']);
+    expect(received).to.deep.equal(['127.0.8.2']);
     expect(await client.fetchChanges('127.0.8.1', REQUEST)).to.equal(false);
     client.close();
     await silent;
@@ -62,7 +62,7 @@
     const address = { host: '127.0.8.3', port: 18_399 };
     const makeLeft = (count: number) =>
       Array.from({ length: count }, (_, index) => ({ incarnation: `i-${index}`, revision: 2 }));
-    const heard: unknown[] = [];
+    const received: unknown[] = [];
     const clock = new ManualClock();
     for (const count of [2, 500]) {
       const server = await serveFeed(address, () => ({
@@ -73,7 +73,7 @@
         },
       }));
       servers.push(server);
-      const client = new FeedClient(clock, address.port, ({ delta }) => heard.push(delta.left));
+      const client = new FeedClient(clock, address.port, ({ delta }) => received.push(delta.left));
       expect(await client.fetchChanges(address.host, REQUEST)).to.equal(true);
       const bytes = await new Promise<number>((resolve) => {
         http.get({ ...address, path: '/feed?targets=1', agent: false }, (response) => {
@@ -88,7 +88,7 @@
         server.close(resolve);
       });
     }
-    expect(heard).to.deep.equal([makeLeft(2), makeLeft(500)]);
+    expect(received).to.deep.equal([makeLeft(2), makeLeft(500)]);
   });
   // Hundreds of daemons that start together each fetch the list of hundreds of targets.
   it('fetches the whole list from one daemon at a time, and soon asks another if that one is silent', async () => {
--- a/test/helpers/news-fleet.ts
+++ b/test/helpers/news-fleet.ts
@@ -92,9 +92,9 @@
       const sentAt = this.clock.now();
       this.calls.set(ip, (this.calls.get(ip) ?? 0) + 1);
       await this.clock.sleep(this.delay);
-      const given = await answer();
+      const result = await answer();
       await this.clock.sleep(this.delay);
-      if (!this.#isLost(ip, sentAt)) return given;
+      if (!this.#isLost(ip, sentAt)) return result;
       await this.clock.sleep(Math.max(0, sentAt + wait + STORE_TIMEOUT_MS - this.clock.now()));
       return { kind: 'unknown' as const, reason: 'timeout' };
     };
@@ -166,7 +166,7 @@
       minHomes: 3,
       minHomeCapacity: 1,
     });
-    const duty = new ReaderRole(
+    const role = new ReaderRole(
       clock,
       {
         isDesignated: () => this.isReader,
@@ -174,15 +174,15 @@
       },
       () => fleet.times,
     );
-    duty.recordServing();
+    role.recordServing();
     this.#reader = new StoreReader({
       ...{ store: fleet.store.createReader(ip), view, clock, log: createSilentLog() },
-      ...{ random: createSeededRandom(seed), isReader: () => duty.isReader() },
-      ...{ getMaxBackoff: () => duty.getMaxBackoff(), getReadDelay: () => duty.getReadDelay() },
+      ...{ random: createSeededRandom(seed), isReader: () => role.isReader() },
+      ...{ getMaxBackoff: () => role.getMaxBackoff(), getReadDelay: () => role.getReadDelay() },
       getWatchTimeout: () => fleet.times.watchTimeout,
     });
     this.#exchange = new KnowledgeExchange({
-      ...{ clock, self: ip, view, roster: this.roster, reader: this.#reader, duty },
+      ...{ clock, self: ip, view, roster: this.roster, reader: this.#reader, duty: role },
       feed: {
         fetchChanges: (from: string, question: FeedRequest) => fleet.fetch(this, from, question),
         fetchMembers: () => Promise.resolve(true),
@@ -223,17 +223,17 @@
     const presences = other.roster.listPresences();
     await this.fleet.delayMessage();
     if (this.isGone) return;
-    const travelled = clock.now() - askedAt;
+    const elapsed = clock.now() - askedAt;
     this.roster.recordStatus({ ip, domain: other.domain, capacity: 1, isSenior: true }, IDLE);
     for (const presence of presences) {
-      this.roster.mergePresence({ ...presence, age: presence.age + travelled });
+      this.roster.mergePresence({ ...presence, age: presence.age + elapsed });
     }
     const { lastRead, proofAge } = knowledge;
     await this.#exchange.receive(
       { ip, domain: other.domain, capacity: 1, isSenior: true },
       {
-        ...{ ...knowledge, proofAge: proofAge + travelled },
-        lastRead: lastRead && { ...lastRead, age: lastRead.age + travelled },
+        ...{ ...knowledge, proofAge: proofAge + elapsed },
+        lastRead: lastRead && { ...lastRead, age: lastRead.age + elapsed },
       },
     );
   }
@@ -307,7 +307,7 @@
     const other = this.find(from);
     const startedAt = this.clock.now();
     // The first two messages open the connection.
-    for (let way = 0; way < 3; way += 1) await this.delayMessage();
+    for (let message = 0; message < 3; message += 1) await this.delayMessage();
     if (other.isGone) {
       await this.clock.sleep(Math.max(0, startedAt + FEED_TIMEOUT_MS - this.clock.now()));
       return false;
--- a/test/news.test.ts
+++ b/test/news.test.ts
@@ -76,29 +76,29 @@
           const fleet = new TestFleet(seed, faults);
           try {
             await fleet.clock.advance(4000 + phase);
-            const silenced = new Set(run === cutOffReaders ? fleet.listReaders() : []);
-            const bound = await run(fleet);
-            await fleet.clock.advance(pause + (bound > 0 ? phase : 0));
+            const disconnected = new Set(run === cutOffReaders ? fleet.listReaders() : []);
+            const holdsFrom = await run(fleet);
+            await fleet.clock.advance(pause + (holdsFrom > 0 ? phase : 0));
             const writtenAt = fleet.clock.now();
             fleet.configure(2);
             await fleet.clock.advance(300);
             // A second change within the same second, which reaches the daemons after the first.
             fleet.configure(3);
             fleet.drain();
-            const due = Math.max(writtenAt + PROPAGATION_LIMIT_MS, bound) - MARGIN_MS;
+            const due = Math.max(writtenAt + PROPAGATION_LIMIT_MS, holdsFrom) - MARGIN_MS;
             await fleet.clock.advance(due - fleet.clock.now());
             for (const daemon of fleet.daemons) {
-              if (daemon.isGone || silenced.has(daemon)) continue;
-              const told = `${daemon.ip}, seed ${seed}, phase ${phase}`;
-              expect(daemon.view.table?.version ?? 0, told).to.be.at.least(2);
+              if (daemon.isGone || disconnected.has(daemon)) continue;
+              const label = `${daemon.ip}, seed ${seed}, phase ${phase}`;
+              expect(daemon.view.table?.version ?? 0, label).to.be.at.least(2);
             }
             await fleet.clock.advance(300);
             for (const daemon of fleet.daemons) {
-              if (daemon.isGone || silenced.has(daemon)) continue;
-              const told = `${daemon.ip}, seed ${seed}, phase ${phase}`;
-              expect(daemon.view.table?.version, told).to.equal(3);
+              if (daemon.isGone || disconnected.has(daemon)) continue;
+              const label = `${daemon.ip}, seed ${seed}, phase ${phase}`;
+              expect(daemon.view.table?.version, label).to.equal(3);
               const [{ record }] = daemon.view.listTargets();
-              expect(record.state, told).to.equal('draining');
+              expect(record.state, label).to.equal('draining');
             }
           } finally {
             fleet.stop();
--- a/test/regions.test.ts
+++ b/test/regions.test.ts
@@ -53,8 +53,8 @@
   it('regions that cannot be decoded are logged once and restrict no request', async () => {
     const ip = await startGateway('d1', 'r1');
     expect((await sendTo(ip, { path: '/odd/1' })).status).to.equal(200);
-    const told = site.events.filter(({ event }) => event === 'configuration.unreadable');
-    expect(told.map(({ fields }) => fields.what)).to.deep.equal([
+    const logged = site.events.filter(({ event }) => event === 'configuration.unreadable');
+    expect(logged.map(({ fields }) => fields.what)).to.deep.equal([
       'r/odd/: allowed_regions; expected a list of regions',
     ]);
   });
--- a/test/routing.test.ts
+++ b/test/routing.test.ts
@@ -84,15 +84,15 @@
           (weights, draw) => {
             const total = weights.reduce((sum, weight) => sum + weight, 0);
             fc.pre(total > 0);
-            const dealer = new TrafficSplitter(() => draw);
-            const dealt = new Map<string, number>();
+            const splitter = new TrafficSplitter(() => draw);
+            const counts = new Map<string, number>();
             for (let count = 1; count <= 200; count += 1) {
-              const service = dealer.pick(route(weights)) as string;
-              dealt.set(service, (dealt.get(service) ?? 0) + 1);
+              const service = splitter.pick(route(weights)) as string;
+              counts.set(service, (counts.get(service) ?? 0) + 1);
               for (const [index, weight] of weights.entries()) {
-                const due = (count * weight) / total;
-                const got = dealt.get(`s${index}`) ?? 0;
-                expect(Math.abs(got - due)).to.be.lessThan(weights.length);
+                const expected = (count * weight) / total;
+                const actual = counts.get(`s${index}`) ?? 0;
+                expect(Math.abs(actual - expected)).to.be.lessThan(weights.length);
               }
             }
           },
@@ -101,10 +101,10 @@
       );
     });
     it('sends nothing to a service of weight 0', () => {
-      const dealer = new TrafficSplitter(() => 0.5);
-      const services = new Set(Array.from({ length: 20 }, () => dealer.pick(route([0, 3]))));
+      const splitter = new TrafficSplitter(() => 0.5);
+      const services = new Set(Array.from({ length: 20 }, () => splitter.pick(route([0, 3]))));
       expect([...services]).to.deep.equal(['s1']);
-      expect(dealer.pick(route([0, 0]))).to.equal(undefined);
+      expect(splitter.pick(route([0, 0]))).to.equal(undefined);
     });
   });
 });
--- a/test/view.test.ts
+++ b/test/view.test.ts
@@ -174,44 +174,44 @@
   it('falls to designated homes, and to a daemon that learns of no recent read', async () => {
     const clock = new ManualClock();
     let isAppointed = false;
-    const place = { isDesignated: () => isAppointed, isNearHomes: () => true };
-    const duty = new ReaderRole(clock, place, readTimes);
-    duty.recordServing();
-    expect(duty.isReader()).to.equal(true);
-    duty.recordRemoteRead('10.0.0.2', clock.now());
-    expect(duty.isReader()).to.equal(false);
+    const eligibility = { isDesignated: () => isAppointed, isNearHomes: () => true };
+    const role = new ReaderRole(clock, eligibility, readTimes);
+    role.recordServing();
+    expect(role.isReader()).to.equal(true);
+    role.recordRemoteRead('10.0.0.2', clock.now());
+    expect(role.isReader()).to.equal(false);
     await clock.advance(1600);
-    expect(duty.isReader()).to.equal(true);
-    duty.recordRemoteRead('10.0.0.2', clock.now() - 1550);
-    expect(duty.isReader()).to.equal(true);
-    duty.recordRemoteRead('10.0.0.2', clock.now() - 300);
-    expect(duty.isReader()).to.equal(false);
+    expect(role.isReader()).to.equal(true);
+    role.recordRemoteRead('10.0.0.2', clock.now() - 1550);
+    expect(role.isReader()).to.equal(true);
+    role.recordRemoteRead('10.0.0.2', clock.now() - 300);
+    expect(role.isReader()).to.equal(false);
     isAppointed = true;
-    expect(duty.isReader()).to.equal(true);
+    expect(role.isReader()).to.equal(true);
   });
   // Guards against all daemons reading at once: when all watches broke together, each of 121
   // daemons read all targets.
   it('falls to the homes and their successors before the daemons that poll them', async () => {
     const clock = new ManualClock();
-    const createDuty = (isNear: boolean) => {
-      const duty = new ReaderRole(
+    const createRole = (isNear: boolean) => {
+      const role = new ReaderRole(
         clock,
         { isDesignated: () => false, isNearHomes: () => isNear },
         readTimes,
       );
-      duty.recordServing();
-      duty.recordRemoteRead('10.0.0.2', clock.now());
-      return duty;
+      role.recordServing();
+      role.recordRemoteRead('10.0.0.2', clock.now());
+      return role;
     };
-    const [near, remote, alone] = [createDuty(true), createDuty(false), createDuty(false)];
-    for (let turn = 0; turn < 16; turn += 1) {
+    const [near, remote, alone] = [createRole(true), createRole(false), createRole(false)];
+    for (let round = 0; round < 16; round += 1) {
       remote.recordAnswer();
       await clock.advance(100);
     }
-    expect([near, remote, alone].map((duty) => duty.isReader())).to.deep.equal([true, false, true]);
+    expect([near, remote, alone].map((role) => role.isReader())).to.deep.equal([true, false, true]);
     expect(remote.getMaxBackoff()).to.be.greaterThan(near.getMaxBackoff());
     // A removed target has to be known within 2.5 s of the last read.
-    for (let turn = 0; turn < 7; turn += 1) {
+    for (let round = 0; round < 7; round += 1) {
       remote.recordAnswer();
       await clock.advance(100);
     }
@@ -219,15 +219,15 @@
   });
   it('is not taken by a starting daemon for a short while', async () => {
     const clock = new ManualClock();
-    const duty = new ReaderRole(
+    const role = new ReaderRole(
       clock,
       { isDesignated: () => false, isNearHomes: () => false },
       readTimes,
       60,
     );
-    expect(duty.isReader()).to.equal(false);
+    expect(role.isReader()).to.equal(false);
     await clock.advance(60);
-    expect(duty.isReader()).to.equal(true);
+    expect(role.isReader()).to.equal(true);
   });
 });
 
@@ -235,35 +235,35 @@
   it('does not read before it can know which other daemons rank before it as homes', async () => {
     const clock = new ManualClock();
     let knowsOthers = false;
-    const duty = new ReaderRole(
+    const role = new ReaderRole(
       clock,
       { isDesignated: () => !knowsOthers, isNearHomes: () => true },
       readTimes,
       3000,
     );
-    duty.recordRemoteRead('10.0.0.2', clock.now());
-    expect(duty.isReader()).to.equal(false);
-    duty.recordServing();
-    for (let turn = 0; turn < 10; turn += 1) {
-      expect(duty.isReader()).to.equal(false);
+    role.recordRemoteRead('10.0.0.2', clock.now());
+    expect(role.isReader()).to.equal(false);
+    role.recordServing();
+    for (let round = 0; round < 10; round += 1) {
+      expect(role.isReader()).to.equal(false);
       await clock.advance(100);
-      duty.recordRemoteRead('10.0.0.2', clock.now());
-      knowsOthers = turn >= 2;
+      role.recordRemoteRead('10.0.0.2', clock.now());
+      knowsOthers = round >= 2;
     }
   });
   it('reads soon when it is designated, and at once when it learns of no read', async () => {
     const clock = new ManualClock();
-    const duty = new ReaderRole(
+    const role = new ReaderRole(
       clock,
       { isDesignated: () => true, isNearHomes: () => true },
       readTimes,
     );
-    expect(duty.isReader()).to.equal(true);
-    duty.recordServing();
-    duty.recordRemoteRead('10.0.0.2', clock.now());
-    expect(duty.isReader()).to.equal(false);
+    expect(role.isReader()).to.equal(true);
+    role.recordServing();
+    role.recordRemoteRead('10.0.0.2', clock.now());
+    expect(role.isReader()).to.equal(false);
     await clock.advance(400);
-    expect(duty.isReader()).to.equal(true);
+    expect(role.isReader()).to.equal(true);
   });
 });
 
@@ -329,8 +329,8 @@
   });
   it('makes no more calls when there are many changes', async () => {
     startReader();
-    for (let beat = 0; beat < 200; beat += 1) {
-      store.change('i1', writeTarget(ADDRESS, { seq: beat }));
+    for (let count = 0; count < 200; count += 1) {
+      store.change('i1', writeTarget(ADDRESS, { seq: count }));
       await clock.advance(50);
     }
     // In ten seconds: at most 50 reads of the targets, and 67 of the configuration, whose watches
@@ -355,7 +355,7 @@
     const write = (id: string, revision: number, state: string) => ({
       ...{ key: KEYS.targets + id, text: writeTarget(ADDRESS, { state }), revision },
     });
-    const told: StoreEvent[] = [
+    const events: StoreEvent[] = [
       { kind: 'written', item: write('i1', 105, 'draining') },
       { kind: 'written', item: write('i2', 108, 'ready') },
     ];
@@ -381,7 +381,7 @@
         await clock.sleep(50);
         const isLater = (event: StoreEvent) =>
           event.kind === 'written' && event.item.revision > after;
-        return { kind: 'events', events: told.filter(isLater), storeRevision: 108 };
+        return { kind: 'events', events: events.filter(isLater), storeRevision: 108 };
       },
     };
     const reader = new StoreReader({
