--- a/test/helpers/news-fleet.ts
+++ b/test/helpers/news-fleet.ts
@@ -166,7 +166,7 @@
       minHomes: 3,
       minHomeCapacity: 1,
     });
-    const role = new ReaderRole(
+    const duty = new ReaderRole(
       clock,
       {
         isDesignated: () => this.isReader,
@@ -174,17 +174,17 @@
       },
       () => fleet.times,
     );
-    role.recordServing();
+    duty.recordServing();
     this.#reader = new StoreReader({
       ...{ store: fleet.store.createReader(ip), view, clock, log: createSilentLog() },
-      ...{ random: createSeededRandom(seed), isReader: () => role.isReader() },
-      ...{ getMaxBackoff: () => role.getMaxBackoff(), getReadDelay: () => role.getReadDelay() },
+      ...{ random: createSeededRandom(seed), isReader: () => duty.isReader() },
+      ...{ getMaxBackoff: () => duty.getMaxBackoff(), getReadDelay: () => duty.getReadDelay() },
       getWatchTimeout: () => fleet.times.watchTimeout,
     });
     this.#exchange = new KnowledgeExchange({
-      ...{ clock, self: ip, view, roster: this.roster, reader: this.#reader, duty: role },
+      ...{ clock, self: ip, view, roster: this.roster, reader: this.#reader, duty },
       feed: {
-        fetchChanges: (from: string, question: FeedRequest) => fleet.fetch(this, from, question),
+        fetchChanges: (from: string, request: FeedRequest) => fleet.fetch(this, from, request),
         fetchMembers: () => Promise.resolve(true),
       } as never,
       listPoisonReports: () => [],
@@ -215,7 +215,7 @@
 
   async #poll(ip: string): Promise<void> {
     const { clock } = this.fleet;
-    const askedAt = clock.now();
+    const polledAt = clock.now();
     const other = this.fleet.find(ip);
     await this.fleet.delayMessage();
     if (other.isGone) return;
@@ -223,7 +223,7 @@
     const presences = other.roster.listPresences();
     await this.fleet.delayMessage();
     if (this.isGone) return;
-    const elapsed = clock.now() - askedAt;
+    const elapsed = clock.now() - polledAt;
     this.roster.recordStatus({ ip, domain: other.domain, capacity: 1, isSenior: true }, IDLE);
     for (const presence of presences) {
       this.roster.mergePresence({ ...presence, age: presence.age + elapsed });
--- a/test/news.test.ts
+++ b/test/news.test.ts
@@ -116,7 +116,7 @@
   for (const promised of [2000, 2500, 3000, 18_000]) {
     const times = planPropagation(promised);
 
-    it(`bring a change to every daemon in 0.9 * ${promised} ms although the readers have failed`, () => {
+    it(`bring a change to every daemon within 90% of ${promised} ms although the readers have failed`, () => {
       expect(computeMaxPropagationDelay(times, DELAYS)).to.be.lessThan(0.9 * promised);
     });
     it(`don't take a working reader for a failed one: ${promised} ms`, () => {
--- a/test/view.test.ts
+++ b/test/view.test.ts
@@ -327,7 +327,7 @@
     await clock.advance(10_000);
     expect(store.calls).to.equal(0);
   });
-  it('makes no more calls when there are many changes', async () => {
+  it('limits its calls when there are many changes', async () => {
     startReader();
     for (let count = 0; count < 200; count += 1) {
       store.change('i1', writeTarget(ADDRESS, { seq: count }));
@@ -351,7 +351,7 @@
   // The pages of a list are no snapshot. A change on an earlier page while a later page is read has
   // an older revision than the entries of that later page; daemons that know the later revision
   // must still fetch it.
-  it('passes on changes on an earlier page while a later one was read', async () => {
+  it('passes on changes made on an earlier page while a later one was read', async () => {
     const write = (id: string, revision: number, state: string) => ({
       ...{ key: KEYS.targets + id, text: writeTarget(ADDRESS, { state }), revision },
     });
