--- a/src/view/fleet-view.ts
+++ b/src/view/fleet-view.ts
@@ -1,60 +1,66 @@
 /**
- * What one daemon believes of the configuration and the targets, with the revision of each part.
+ * One daemon's view of the configuration and the targets, with the store revision of each part.
  *
- * Every part carries the revision of the store at which it changed, so news may come from the store
+ * Each part carries the store revision at which it last changed, so updates may come from the store
  * or from another daemon, in any order and more than once: a part only ever moves to a higher
- * revision. A configuration never falls to an older version within the life of a daemon.
+ * revision. While a daemon runs, its configuration never goes back to an older version.
  */
 import type { RouteTable } from '../routing/index.js';
 import { type TargetRecord, decodeConfiguration } from '../platform/documents.js';
 
-/** A target as listed, and the revision at which that became so. */
+/** A target's current record, and the store revision at which it last changed. */
 export interface ListedTarget {
   readonly record: TargetRecord;
   readonly revision: number;
-  /** Until when the target is slow after its start, on this daemon's clock. */
+  /**
+   * When the target stops being cold (slow after its start), on this daemon's clock in
+   * milliseconds.
+   */
   readonly coldUntil: number;
 }
 
-/** A target that left the list, and the revision at which it did. */
+/** A target that was removed, and the store revision of its removal. */
 export interface RemovedTarget {
   readonly incarnation: string;
   readonly revision: number;
 }
 
-/** The failure domains whose targets take no calls, because the operators asked for that. */
+/** The failure domains whose targets get no calls, at the operators' request. */
 export interface Evacuations {
   readonly domains: readonly string[];
-  /** The revision of the store at which these became all of them; 0 while none was ever heard of. */
+  /** The store revision of this set; 0 while none is known. */
   readonly revision: number;
 }
 
 /**
- * How far a view has come. Its parts come from the store by ways of their own, so one may be ahead of
- * another, and none says anything about the others.
+ * The store revisions that a view has reached, part by part. The parts are updated independently,
+ * so one may be ahead of another, and the revision of one part says nothing about the others.
  */
 export interface ViewPosition {
-  /** The store's revision at the last change of a target. */
+  /** The store revision of the last change of a target. */
   readonly targets: number;
-  /** The store's revision at the last change of the configuration. */
+  /** The store revision of the last change of the configuration. */
   readonly configuration: number;
-  /** The store's revision at the last change of the evacuated domains. */
+  /** The store revision of the last change of the evacuated domains. */
   readonly evacuations: number;
 }
 
-/** Up to which revisions of the store all changes are known. */
+/** The store revisions up to which all changes are known. */
 export interface KnownRevisions {
-  /** Of targets. */
+  /** Up to here all changes of targets are known. */
   readonly targets: number;
-  /** Of what the operators keep there. */
+  /** Up to here all changes of the operators' keys (configuration, evacuations) are known. */
   readonly operators: number;
 }
 
-/** The changes after a position, to be sent to another daemon. */
+/** The changes after a position, as sent to another daemon. */
 export interface ViewDelta {
-  /** The position that the other reaches with them. */
+  /** The position that the receiver reaches by applying them. */
   readonly position: ViewPosition;
-  /** Whether targets that are not named here are to be forgotten. */
+  /**
+   * Whether `targets` is the full list: the receiver removes its other targets, unless they are
+   * newer.
+   */
   readonly isWhole: boolean;
   readonly configuration?: { readonly text: string; readonly revision: number };
   readonly evacuations?: Evacuations;
@@ -62,27 +68,31 @@
   readonly left: readonly RemovedTarget[];
 }
 
-/** What is told when something changed. */
+/** Receives the changes of a view. */
 export interface ViewListener {
+  /** A newer configuration is in force. */
   onTable(table: RouteTable): void;
-  /** A target appeared, changed its state, or left; undefined stands for the record of one that left. */
+  /** A target was added, changed, or removed; `record` is undefined for a removed one. */
   onTarget(incarnation: string, record: TargetRecord | undefined, revision: number): void;
-  /** Other failure domains are evacuated than before. */
+  /** The set of evacuated failure domains has changed. */
   onEvacuations(evacuations: Evacuations): void;
-  /** A configuration could not be decoded and the one in force stays, or a part of the new one could not. */
+  /**
+   * A configuration could not be decoded, and the one in force stays; or a part of a new one could
+   * not.
+   */
   onFault(what: string): void;
 }
 
-/** Departures remembered for daemons that ask what changed; the history of some minutes. */
-const MAX_LEFT = 2000;
+/** Removals kept for daemons that ask what changed: a history of some minutes. */
+const MAX_REMOVED_TARGETS = 2000;
 
 /**
- * A target that is cold for this much longer than it was known to be has turned cold again, in milliseconds: what one
- * entry says differs by its way here.
+ * A target has turned cold again when the end of its cold time moves later by more than this.
+ * Smaller differences come from the varying delay with which one and the same record arrives.
  */
-const COLD_AGAIN = 1000;
+const MIN_COLD_EXTENSION_MS = 1000;
 
-function matchRecords(a: TargetRecord, b: TargetRecord): boolean {
+function isSameRecord(a: TargetRecord, b: TargetRecord): boolean {
   return (
     a.service === b.service &&
     a.born === b.born &&
@@ -103,14 +113,15 @@
 
   readonly #targets = new Map<string, ListedTarget>();
 
-  #left: readonly RemovedTarget[] = [];
+  #removed: readonly RemovedTarget[] = [];
 
-  readonly #leftAt = new Map<string, number>();
+  /** The revision of each kept removal, by incarnation. */
+  readonly #removedAt = new Map<string, number>();
 
-  /** Departures up to this revision are no longer remembered. */
-  #leftFloor = 0;
+  /** Removals up to this revision are no longer kept. */
+  #forgottenUpTo = 0;
 
-  #targetsAt = 0;
+  #targetsRevision = 0;
 
   #provenAt = -Infinity;
 
@@ -125,45 +136,49 @@
     return this.#table;
   }
 
-  /** How far this view has come. */
+  /** The store revisions that this view has reached. */
   get position(): ViewPosition {
     return {
-      ...{ targets: this.#targetsAt, configuration: this.configurationRevision },
+      ...{ targets: this.#targetsRevision, configuration: this.configurationRevision },
       evacuations: this.#evacuations.revision,
     };
   }
 
-  /** The last moment, on this daemon's clock, at which nothing newer was in the store. */
+  /**
+   * The last time, on this daemon's clock, at which the store is known to have held nothing newer.
+   */
   get provenAt(): number {
     return this.#provenAt;
   }
 
-  /** The revisions of the store up to which all changes are known. */
+  /** The store revisions up to which all changes are known. */
   get known(): KnownRevisions {
     return this.#known;
   }
 
-  /** The failure domains that are evacuated. */
+  /** The evacuated failure domains. */
   get evacuations(): Evacuations {
     return this.#evacuations;
   }
 
-  /** The revision of the newest configuration that is known; 0 when none is. */
+  /** The store revision of the newest known configuration; 0 when none is known. */
   get configurationRevision(): number {
     return this.#configuration?.revision ?? 0;
   }
 
-  /** The targets of the list, leaving ones included. */
+  /** Lists all known targets, draining ones included. */
   listTargets(): readonly ListedTarget[] {
     return [...this.#targets.values()];
   }
 
-  /** Notes that at time `at` the store held no newer change of a target or of what the operators keep. */
+  /**
+   * Records that at time `at` the store held no newer change of a target or of an operators' key.
+   */
   recordProof(at: number): void {
     this.#provenAt = Math.max(this.#provenAt, at);
   }
 
-  /** Notes up to which revisions all changes are known. */
+  /** Raises the revisions up to which all changes are known; lower values are ignored. */
   advanceKnown({ targets = 0, operators = 0 }: Partial<KnownRevisions>): void {
     this.#known = {
       targets: Math.max(this.#known.targets, targets),
@@ -171,17 +186,18 @@
     };
   }
 
-  /** Takes all the domains that are evacuated, as the store held them at a revision. */
+  /** Sets the complete list of evacuated domains, as the store held it at a revision. */
   setEvacuations({ domains, revision }: Evacuations): void {
-    const { domains: known, revision: knownAt } = this.#evacuations;
-    if (revision <= knownAt) return;
-    // What is the same at a later revision is taken as well: word of what stood between may still come.
+    const { domains: known, revision: knownRevision } = this.#evacuations;
+    if (revision <= knownRevision) return;
+    // An equal list at a later revision is kept too: an update with a revision in between may still
+    // arrive.
     this.#evacuations = { domains, revision };
     const isSame = domains.length === known.length && domains.every((it) => known.includes(it));
     if (!isSame) this.listener.onEvacuations(this.#evacuations);
   }
 
-  /** Takes the configuration as the store held it at a revision. */
+  /** Sets the configuration, as the store held it at a revision. */
   setConfiguration(text: string, revision: number): void {
     if (this.#configuration !== undefined && revision <= this.#configuration.revision) return;
     const table = decodeConfiguration(text);
@@ -192,46 +208,51 @@
     }
     if (this.#table !== undefined && table.version <= this.#table.version) return;
     this.#table = table;
-    for (const remark of table.warnings) this.listener.onFault(remark);
+    for (const warning of table.warnings) this.listener.onFault(warning);
     this.listener.onTable(table);
   }
 
-  /** Takes a target's entry; one that says nothing new but that it lives changes no revision. */
+  /**
+   * Adds or updates a target. A heartbeat, which changes nothing in the record, moves no revision.
+   */
   putTarget(record: TargetRecord, revision: number, now: number): void {
     const { incarnation } = record;
-    if (revision <= (this.#leftAt.get(incarnation) ?? 0)) return;
+    if (revision <= (this.#removedAt.get(incarnation) ?? 0)) return;
     const known = this.#targets.get(incarnation);
     if (known !== undefined && revision <= known.revision) return;
-    // Of two starts under one name the later one holds, in whatever order news come.
+    // Of two starts of one incarnation name the later one wins, whatever order the updates come in.
     if (known !== undefined && record.born < known.record.born) return;
     const coldUntil = record.coldLeft > 0 ? now + record.coldLeft : -Infinity;
-    const isColder = coldUntil > (known?.coldUntil ?? -Infinity) + COLD_AGAIN;
-    if (known !== undefined && !isColder && matchRecords(known.record, record)) {
+    const isColdAgain = coldUntil > (known?.coldUntil ?? -Infinity) + MIN_COLD_EXTENSION_MS;
+    if (known !== undefined && !isColdAgain && isSameRecord(known.record, record)) {
       this.#targets.set(incarnation, { ...known, coldUntil });
       return;
     }
     this.#targets.set(incarnation, { record, revision, coldUntil });
-    this.#leftAt.delete(incarnation);
-    this.#note(revision);
+    this.#removedAt.delete(incarnation);
+    this.#advanceTargets(revision);
     this.listener.onTarget(incarnation, record, revision);
   }
 
-  /** Forgets a target whose entry is gone. */
+  /** Removes a target whose entry the store no longer holds. */
   removeTarget(incarnation: string, revision: number): void {
     const known = this.#targets.get(incarnation);
     if (known !== undefined && revision <= known.revision) return;
-    if (revision <= (this.#leftAt.get(incarnation) ?? 0)) return;
-    this.#leftAt.set(incarnation, revision);
-    this.#left = [...this.#left, { incarnation, revision }];
-    if (this.#left.length > MAX_LEFT) this.#trimLeft();
-    this.#note(revision);
+    if (revision <= (this.#removedAt.get(incarnation) ?? 0)) return;
+    this.#removedAt.set(incarnation, revision);
+    this.#removed = [...this.#removed, { incarnation, revision }];
+    if (this.#removed.length > MAX_REMOVED_TARGETS) this.#trimRemoved();
+    this.#advanceTargets(revision);
     if (!this.#targets.delete(incarnation)) return;
     this.listener.onTarget(incarnation, undefined, revision);
   }
 
-  /** Tells what changed after a position, or everything when that is no longer known. */
+  /**
+   * Lists the changes after a position, or everything when the removals since then are no longer
+   * kept.
+   */
   diffSince(after: ViewPosition, now: number): ViewDelta {
-    const isWhole = after.targets < this.#leftFloor || after.targets === 0;
+    const isWhole = after.targets < this.#forgottenUpTo || after.targets === 0;
     const configuration = this.#configuration;
     const targets = this.listTargets()
       .filter((listed) => isWhole || listed.revision > after.targets)
@@ -246,11 +267,11 @@
           ? configuration
           : undefined,
       evacuations: this.#evacuations.revision > after.evacuations ? this.#evacuations : undefined,
-      left: this.#left.filter((left) => left.revision > after.targets),
+      left: this.#removed.filter((left) => left.revision > after.targets),
     };
   }
 
-  /** Takes what another daemon tells. */
+  /** Applies changes that another daemon sent. */
   applyDelta(delta: ViewDelta, now: number): void {
     const { configuration } = delta;
     if (configuration !== undefined) {
@@ -260,26 +281,26 @@
     for (const { record, revision } of delta.targets) this.putTarget(record, revision, now);
     for (const { incarnation, revision } of delta.left) this.removeTarget(incarnation, revision);
     if (delta.isWhole) {
-      const named = new Set(delta.targets.map(({ record }) => record.incarnation));
+      const present = new Set(delta.targets.map(({ record }) => record.incarnation));
       for (const [incarnation, listed] of this.#targets) {
-        if (!named.has(incarnation) && listed.revision <= delta.position.targets) {
+        if (!present.has(incarnation) && listed.revision <= delta.position.targets) {
           this.removeTarget(incarnation, delta.position.targets);
         }
       }
     }
-    this.#note(delta.position.targets);
+    this.#advanceTargets(delta.position.targets);
   }
 
-  #note(revision: number): void {
-    this.#targetsAt = Math.max(this.#targetsAt, revision);
+  #advanceTargets(revision: number): void {
+    this.#targetsRevision = Math.max(this.#targetsRevision, revision);
   }
 
-  #trimLeft(): void {
-    const dropped = this.#left.slice(0, MAX_LEFT / 2);
-    this.#left = this.#left.slice(MAX_LEFT / 2);
+  #trimRemoved(): void {
+    const dropped = this.#removed.slice(0, MAX_REMOVED_TARGETS / 2);
+    this.#removed = this.#removed.slice(MAX_REMOVED_TARGETS / 2);
     for (const { incarnation, revision } of dropped) {
-      this.#leftFloor = Math.max(this.#leftFloor, revision);
-      if (this.#leftAt.get(incarnation) === revision) this.#leftAt.delete(incarnation);
+      this.#forgottenUpTo = Math.max(this.#forgottenUpTo, revision);
+      if (this.#removedAt.get(incarnation) === revision) this.#removedAt.delete(incarnation);
     }
   }
 }
--- a/test/feed.test.ts
+++ b/test/feed.test.ts
@@ -4,9 +4,9 @@
 import { ManualClock } from '../src/kernel/index.js';
 import { FeedClient, serveFeed } from '../src/peering/index.js';
 
-const QUESTION = { position: { targets: 1, configuration: 1, evacuations: 0 }, members: 0 };
+const REQUEST = { position: { targets: 1, configuration: 1, evacuations: 0 }, members: 0 };
 
-describe('news of another daemon', () => {
+describe('fetching changes from another daemon', () => {
   const servers: http.Server[] = [];
   let port = 0;
   afterEach(() => {
@@ -16,7 +16,10 @@
     }
   });
 
-  /** Starts a daemon's feed on an address of its own; a silent one takes the question and says nothing. */
+  /**
+   * Starts a daemon's feed on an address of its own; a silent one accepts requests and never
+   * responds.
+   */
   async function startFeed(host: string, isSilent: boolean): Promise<void> {
     const server = http.createServer((_request, response) => {
       const left = [{ incarnation: host, revision: 2 }];
@@ -35,30 +38,31 @@
     port = (server.address() as AddressInfo).port;
   }
 
-  // A daemon that waits for a frozen one alone acts late on targets that leave and on configurations.
-  it('is asked of a second one at once, as the first may be frozen', async () => {
+  // A daemon that waits only for a frozen one acts late on removed targets and on new
+  // configurations.
+  it('asks a second daemon at once, because the first may be frozen', async () => {
     port = 0;
     await startFeed('127.0.8.1', true);
     await startFeed('127.0.8.2', false);
-    const heard: unknown[] = [];
+    const received: unknown[] = [];
     const client = new FeedClient(new ManualClock(), port, ({ delta }) =>
-      heard.push(...delta.left.map(({ incarnation }) => incarnation)),
+      received.push(...delta.left.map(({ incarnation }) => incarnation)),
     );
-    const silent = client.fetchChanges('127.0.8.1', QUESTION);
+    const silent = client.fetchChanges('127.0.8.1', REQUEST);
     const startedAt = performance.now();
-    expect(await client.fetchChanges('127.0.8.2', QUESTION)).to.equal(true);
+    expect(await client.fetchChanges('127.0.8.2', REQUEST)).to.equal(true);
     expect(performance.now() - startedAt).to.be.lessThan(400);
-    expect(heard).to.deep.equal(['127.0.8.2']);
-    expect(await client.fetchChanges('127.0.8.1', QUESTION)).to.equal(false);
+    expect(received).to.deep.equal(['127.0.8.2']);
+    expect(await client.fetchChanges('127.0.8.1', REQUEST)).to.equal(false);
     client.close();
     await silent;
   });
 
-  it('comes packed where it is long, and as it is where it is short', async () => {
+  it('compresses long responses and sends short ones uncompressed', async () => {
     const address = { host: '127.0.8.3', port: 18_399 };
     const makeLeft = (count: number) =>
       Array.from({ length: count }, (_, index) => ({ incarnation: `i-${index}`, revision: 2 }));
-    const heard: unknown[] = [];
+    const received: unknown[] = [];
     const clock = new ManualClock();
     for (const count of [2, 500]) {
       const server = await serveFeed(address, () => ({
@@ -69,8 +73,8 @@
         },
       }));
       servers.push(server);
-      const client = new FeedClient(clock, address.port, ({ delta }) => heard.push(delta.left));
-      expect(await client.fetchChanges(address.host, QUESTION)).to.equal(true);
+      const client = new FeedClient(clock, address.port, ({ delta }) => received.push(delta.left));
+      expect(await client.fetchChanges(address.host, REQUEST)).to.equal(true);
       const bytes = await new Promise<number>((resolve) => {
         http.get({ ...address, path: '/feed?targets=1', agent: false }, (response) => {
           response.resume();
@@ -84,14 +88,14 @@
         server.close(resolve);
       });
     }
-    expect(heard).to.deep.equal([makeLeft(2), makeLeft(500)]);
+    expect(received).to.deep.equal([makeLeft(2), makeLeft(500)]);
   });
-  // Hundreds of daemons that start together each get the list of hundreds of targets.
-  it('is asked of one at a time for the whole list, and of another soon when that one is silent', async () => {
+  // Hundreds of daemons that start together each fetch the list of hundreds of targets.
+  it('fetches the whole list from one daemon at a time, and soon asks another if that one is silent', async () => {
     port = 0;
     await startFeed('127.0.8.1', true);
     await startFeed('127.0.8.2', false);
-    const first = { ...QUESTION, position: { targets: 0, configuration: 0, evacuations: 0 } };
+    const first = { ...REQUEST, position: { targets: 0, configuration: 0, evacuations: 0 } };
     const clock = new ManualClock();
     const client = new FeedClient(clock, port, () => undefined);
     const silent = client.fetchChanges('127.0.8.1', first);
--- a/test/routing.test.ts
+++ b/test/routing.test.ts
@@ -11,7 +11,7 @@
 }
 
 describe('routes', () => {
-  describe('finding one', () => {
+  describe('lookup', () => {
     const table = decodeTable(
       writeConfiguration(3, [{ prefix: '/a/' }, { prefix: '/a/b/' }, { prefix: '/c/' }]),
     );
@@ -23,18 +23,18 @@
       ['/d/x', undefined],
       ['/', undefined],
     ] as const) {
-      it(`${path} goes by ${name ?? 'no route'}`, () => {
+      it(`${path} matches ${name ?? 'no route'}`, () => {
         expect(table.findRoute(HOST, path)?.name).to.equal(name);
       });
     }
-    it('knows no other host, and takes a host in any case', () => {
+    it('finds nothing for an unknown host, and ignores the case of host names', () => {
       expect(table.findRoute('other.example', '/a/x')).to.equal(undefined);
       expect(table.findRoute(HOST.toUpperCase(), '/a/x')?.name).to.equal('r/a/');
     });
   });
 
   describe('decoding', () => {
-    it('reads limits, kinds and times', () => {
+    it('decodes limits, kinds and times', () => {
       const table = decodeTable(
         writeConfiguration(7, [{ prefix: '/u/', kind: 'unsafe', timeout: 900 }]),
       );
@@ -49,13 +49,13 @@
       ['no listeners', '{"version":1}'],
       ['an unknown kind', writeConfiguration(1, [{ prefix: '/a/', kind: 'odd' as 'safe' }])],
     ] as const) {
-      it(`says what is wrong with ${what}`, () => {
+      it(`reports a fault and what was expected: ${what}`, () => {
         const fault = decodeConfiguration(text);
         expect(fault).to.have.property('kind', 'fault');
         expect(fault).to.have.property('expected').that.is.not.equal('');
       });
     }
-    it('reads a target, and refuses one without an address', () => {
+    it('decodes a target, and rejects one without an address', () => {
       const record = decodeTarget('i-1', writeTarget({ host: '10.0.0.1', port: 80 }, { cold: 9 }));
       expect(record).to.include({ incarnation: 'i-1', service: 'alpha', slots: 4, coldLeft: 9 });
       expect(decodeTarget('i-1', '{"info":{},"status":{}}')).to.have.property('kind', 'fault');
@@ -66,7 +66,7 @@
       ['x', undefined],
       ['-1,0,6', undefined],
     ] as const) {
-      it(`reads the load "${text}"`, () => expect(parseLoad(text)).to.deep.equal(report));
+      it(`parses the load report "${text}"`, () => expect(parseLoad(text)).to.deep.equal(report));
     }
   });
 
@@ -84,15 +84,15 @@
           (weights, draw) => {
             const total = weights.reduce((sum, weight) => sum + weight, 0);
             fc.pre(total > 0);
-            const dealer = new TrafficSplitter(() => draw);
-            const dealt = new Map<string, number>();
+            const splitter = new TrafficSplitter(() => draw);
+            const counts = new Map<string, number>();
             for (let count = 1; count <= 200; count += 1) {
-              const service = dealer.pick(route(weights)) as string;
-              dealt.set(service, (dealt.get(service) ?? 0) + 1);
+              const service = splitter.pick(route(weights)) as string;
+              counts.set(service, (counts.get(service) ?? 0) + 1);
               for (const [index, weight] of weights.entries()) {
-                const due = (count * weight) / total;
-                const got = dealt.get(`s${index}`) ?? 0;
-                expect(Math.abs(got - due)).to.be.lessThan(weights.length);
+                const expected = (count * weight) / total;
+                const actual = counts.get(`s${index}`) ?? 0;
+                expect(Math.abs(actual - expected)).to.be.lessThan(weights.length);
               }
             }
           },
@@ -100,11 +100,11 @@
         { numRuns: 50, seed: 7 },
       );
     });
-    it('gives nothing to a share without weight', () => {
-      const dealer = new TrafficSplitter(() => 0.5);
-      const services = new Set(Array.from({ length: 20 }, () => dealer.pick(route([0, 3]))));
+    it('sends nothing to a service of weight 0', () => {
+      const splitter = new TrafficSplitter(() => 0.5);
+      const services = new Set(Array.from({ length: 20 }, () => splitter.pick(route([0, 3]))));
       expect([...services]).to.deep.equal(['s1']);
-      expect(dealer.pick(route([0, 0]))).to.equal(undefined);
+      expect(splitter.pick(route([0, 0]))).to.equal(undefined);
     });
   });
 });
