--- a/src/platform/kv-store.ts
+++ b/src/platform/kv-store.ts
@@ -181,7 +181,7 @@
 
 const MALFORMED_ANSWER: OutcomeUnknown = {
   kind: 'unknown',
-  reason: 'the answer does not follow the protocol',
+  reason: 'the answer is not in the protocol',
 };
 
 function interpretFailure(reply: HttpReply | HttpFailure): NotApplied | OutcomeUnknown {
--- a/src/platform/metered.ts
+++ b/src/platform/metered.ts
@@ -48,7 +48,7 @@
 
 const HELD_BACK: Unavailable = {
   kind: 'unavailable',
-  reason: 'call budget of this daemon exhausted',
+  reason: 'call budget of this daemon spent',
 };
 const REFUSED: WriteResult = { kind: 'refused', reason: HELD_BACK.reason };
 
