--- a/src/bin/entry.ts
+++ b/src/bin/entry.ts
@@ -58,7 +58,7 @@
 function findPeerKeys({ security }: EntrySettings): PeerKeyFiles | undefined {
   if (security.peers_cert === '') return undefined;
   const { peers_cert: cert, peers_key: key, peers_ca: ca } = security;
-  return { cert, key, ca, refresh: KEY_REFRESH };
+  return { cert, key, ca, refreshIntervalMs: KEY_REFRESH };
 }
 
 function buildKernel(settings: EntrySettings): Kernel {
--- a/src/bin/in-force.ts
+++ b/src/bin/in-force.ts
@@ -50,7 +50,7 @@
     name: 'every second daemon cut off from its peers',
     apply: ({ transports }) => {
       const isAlone = (address: string) => Number(address.split(':')[0]?.split('.')[3]) % 2 === 0;
-      transports.cut = (from, to) => isAlone(from) || isAlone(to);
+      transports.isLinkCut = (from, to) => isAlone(from) || isAlone(to);
     },
     cutOff: nobody,
   },
--- a/src/entry/call-handler.ts
+++ b/src/entry/call-handler.ts
@@ -4,7 +4,7 @@
 import type { Service } from '../config/index.js';
 import type { Claims } from '../once/index.js';
 import type { Member } from '../peer/index.js';
-import { type Ruling, PASSING, applyPolicies } from '../policy/index.js';
+import { type PolicyOutcome, PASS_OUTCOME, applyPolicies } from '../policy/index.js';
 import {
   type Body,
   BufferBudget,
@@ -200,9 +200,9 @@
     return this.#findPool(runtime, undefined).pool.waiting > 0;
   }
 
-  #rule({ runtime, call, request }: Passage): Ruling {
+  #rule({ runtime, call, request }: Passage): PolicyOutcome {
     const { policies } = runtime.service;
-    if (policies.length === 0) return PASSING;
+    if (policies.length === 0) return PASS_OUTCOME;
     const pool = this.#findPool(runtime, undefined).pool.readLoad();
     const view = { call: viewCall(call, request, this.options.clock.now()), pool };
     const ruling = applyPolicies(policies, view);
@@ -235,7 +235,7 @@
   }
 
   /** Claims the idempotency key of a call that may not be repeated, then runs the call. */
-  async #runOnce(passage: Passage, ruling: Ruling, body: Body): Promise<CallEnd> {
+  async #runOnce(passage: Passage, ruling: PolicyOutcome, body: Body): Promise<CallEnd> {
     const { runtime, call } = passage;
     if (call.repeatable || call.idempotencyKey === undefined) {
       return this.#forward(passage, ruling, body);
@@ -271,7 +271,7 @@
     }
   }
 
-  async #forward(passage: Passage, ruling: Ruling, body: Body): Promise<CallEnd> {
+  async #forward(passage: Passage, ruling: PolicyOutcome, body: Body): Promise<CallEnd> {
     const { runtime, call, request, response, signal } = passage;
     const { clients, clock, metrics } = this.options;
     const pool = this.#findPool(runtime, ruling.pool);
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -13,7 +13,7 @@
 } from '../kernel/index.js';
 import type { Strategy } from '../balance/index.js';
 import { ConfigStore, type Manifest } from '../config/index.js';
-import { DEFAULT_TIMES, Membership, type MembershipTimes } from '../member/index.js';
+import { DEFAULT_MEMBERSHIP_TIMES, Membership, type MembershipTimes } from '../member/index.js';
 import { Claims } from '../once/index.js';
 import {
   type ExchangeMessage,
@@ -27,11 +27,11 @@
 import { type MeteredPlatform, createMeteredPlatform, platformService } from '../platform/index.js';
 import type { EntrySettings } from '../settings/index.js';
 import {
-  ANNOUNCED_RATE,
+  MIN_ANNOUNCED_CALLS_PER_SECOND,
   ConfigFollower,
   DEFAULT_FOLLOWER_TIMES,
   type FollowerTimes,
-  LoadBoard,
+  HomeLoadTable,
   VmsFollower,
 } from '../spread/index.js';
 import { CallHandler } from './call-handler.js';
@@ -94,7 +94,7 @@
 
   #refreshing = false;
 
-  readonly #loads = new LoadBoard();
+  readonly #loads = new HomeLoadTable();
 
   constructor(
     private readonly kernel: Kernel,
@@ -170,13 +170,13 @@
         relay: formatAddress(relay.address),
         admin: formatAddress(settings.entry.admin),
       },
-      times: this.options.membershipTimes ?? DEFAULT_TIMES,
+      times: this.options.membershipTimes ?? DEFAULT_MEMBERSHIP_TIMES,
       readKnowledge: () => this.#readKnowledge(),
       onKnowledge: (from, knowledge) => this.#hearKnowledge(from, knowledge),
       listLoads: () => this.#listLoads(),
       onLoads: (loads) => this.#hearLoads(loads),
       onChange: () => this.#refreshSoon(),
-      onNotice: (target) => this.#table?.noteLeaving(target),
+      onTargetLeaving: (target) => this.#table?.noteLeaving(target),
       listSeeds: () => this.#listSeeds(),
     });
     this.#table = new ServiceTable({
@@ -257,7 +257,7 @@
 
   /** Takes a manifest that the administration interface accepted at time `at`. */
   takeManifest(manifest: Manifest, at: number): Promise<void> {
-    return this.follower.takeManifest(manifest, at);
+    return this.follower.adoptManifest(manifest, at);
   }
 
   /** Describes this entry. */
@@ -279,7 +279,7 @@
       platform: this.#platform.counts(),
       claimCalls: this.#claimPlatform.counts(),
       cpu: readCpu(),
-      traffic: this.kernel.find(peerTransportService).traffic(),
+      traffic: this.kernel.find(peerTransportService).readTraffic(),
       claims: { ...this.#claims.counts },
       services: this.table
         .list()
@@ -328,7 +328,7 @@
     ];
     for (const task of tasks) task?.catch((error: Error) => this.#fail(error));
     const limit = clock.now() + READY_WAIT;
-    while (!this.follower.isKnown && clock.now() < limit) await clock.sleep(STOP_CHECK);
+    while (!this.follower.hasConfiguration && clock.now() < limit) await clock.sleep(STOP_CHECK);
   }
 
   /** A task that ends with an error met a broken invariant: the process must not go on. */
@@ -347,15 +347,16 @@
       ...{ maxCalls: settings.limits.max_calls, logCalls: settings.log.calls },
       relaySecret: settings.security.peer_secret,
       selfId: () => this.membership.self.id,
-      isConfigured: () => this.follower.isKnown,
+      isConfigured: () => this.follower.hasConfiguration,
       readProofAge: () => this.follower.proofAge,
-      onLeaving: (target) => this.membership.announceLeaving(target),
+      onLeaving: (target) => this.membership.announceTargetLeaving(target),
     });
   }
 
   #createHandlers(): PeerHandlers {
     return {
-      exchange: async (request): Promise<ExchangeMessage> => this.membership.answer(request),
+      exchange: async (request): Promise<ExchangeMessage> =>
+        this.membership.answerExchange(request),
       probe: (peers) => this.membership.probe(peers),
       fetchConfig: async (known) => this.follower.answerFetch(known),
       fetchVms: async (known) => (this.#vms as VmsFollower).answerFetch(known),
@@ -365,11 +366,11 @@
   #listLoads(): readonly LoadMessage[] {
     const now = this.kernel.find(clockService).now();
     const entry = this.membership.self.id;
-    for (const busy of this.#table?.listBusy(now, ANNOUNCED_RATE) ?? []) {
+    for (const busy of this.#table?.listBusy(now, MIN_ANNOUNCED_CALLS_PER_SECOND) ?? []) {
       this.#loads.add({ ...busy, entry, age: 0 }, now);
     }
     const loads = this.#loads.list(now);
-    if (loads.length > 0 || this.#loads.isHolding()) this.#refreshSoon();
+    if (loads.length > 0 || this.#loads.hasMultipleHomes()) this.#refreshSoon();
     return loads;
   }
 
@@ -390,8 +391,8 @@
   }
 
   #hearKnowledge(from: Member, knowledge: Knowledge): void {
-    this.#follower?.hearKnowledge(from, knowledge.revision, knowledge.proofAge);
-    this.#vms?.hearKnowledge(from, knowledge.vmsReader, knowledge.vmsCount);
+    this.#follower?.receiveKnowledge(from, knowledge.revision, knowledge.proofAge);
+    this.#vms?.receiveKnowledge(from, knowledge.vmsReader, knowledge.vmsCount);
   }
 
   #listSeeds(): readonly string[] {
--- a/src/measure/grants.ts
+++ b/src/measure/grants.ts
@@ -10,7 +10,7 @@
 import type { Platform } from '../platform/index.js';
 
 /** Length of a grant, in milliseconds. */
-export const GRANT_SPAN = 10_000;
+export const GRANT_DURATION_MS = 10_000;
 
 /** A grant is not used in its last part, so that a slow probe still falls within it. */
 const MARGIN = 1500;
@@ -54,7 +54,7 @@
     if (this.#take(cost)) return true;
     const { clock } = this;
     const expired = this.#grant === undefined || clock.now() >= this.#grant.until;
-    if (!expired || this.#asking || this.budget * (GRANT_SPAN / 1000) < cost) return false;
+    if (!expired || this.#asking || this.budget * (GRANT_DURATION_MS / 1000) < cost) return false;
     this.#asking = true;
     this.#grant = await this.#ask();
     this.#asking = false;
@@ -74,14 +74,14 @@
   async #ask(): Promise<Grant | undefined> {
     // The grant ends no later than its lease: time is counted from before the lease was asked for.
     const asked = this.clock.now();
-    const lease = await this.platform.grantLease(GRANT_SPAN);
+    const lease = await this.platform.grantLease(GRANT_DURATION_MS);
     if (lease.kind !== 'held') return undefined;
     const result = await this.platform.swap({
       ...{ key: this.key, value: String(this.budget), expect: 0, lease: lease.lease },
     });
     if (result.kind !== 'written') return undefined;
-    const amount = (this.budget * GRANT_SPAN) / 1000;
+    const amount = (this.budget * GRANT_DURATION_MS) / 1000;
     this.granted += amount;
-    return { until: asked + GRANT_SPAN - MARGIN, amount, spent: 0 };
+    return { until: asked + GRANT_DURATION_MS - MARGIN, amount, spent: 0 };
   }
 }
--- a/src/member/index.ts
+++ b/src/member/index.ts
@@ -1,5 +1,5 @@
 /** Membership among the entries. */
 export * from './roster.js';
-export * from './rumors.js';
+export * from './update-queue.js';
 export * from './notices.js';
 export * from './membership.js';
--- a/src/member/membership.ts
+++ b/src/member/membership.ts
@@ -25,11 +25,11 @@
   PeerTransport,
 } from '../peer/index.js';
 import { type Roster, forgetGone, listMembers, mergeMember, replaceAtAddress } from './roster.js';
-import { NoticeBoard } from './notices.js';
-import { RumorQueue } from './rumors.js';
+import { NoticeCache } from './notices.js';
+import { UpdateQueue } from './update-queue.js';
 
 /** Where this entry is, as others are told. */
-export type Self = Omit<Member, 'id' | 'incarnation' | 'state'>;
+export type LocalMember = Omit<Member, 'id' | 'incarnation' | 'state'>;
 
 /** Times of the protocol, in milliseconds. */
 export interface MembershipTimes {
@@ -38,15 +38,19 @@
   /** Longest wait for a peer. */
   readonly timeout: number;
   /** From suspicion to gone, unless refuted. */
-  readonly suspicion: number;
+  readonly suspicionTimeout: number;
 }
 
 /** The times used unless a test says otherwise. */
-export const DEFAULT_TIMES: MembershipTimes = { period: 1000, timeout: 600, suspicion: 4000 };
+export const DEFAULT_MEMBERSHIP_TIMES: MembershipTimes = {
+  period: 1000,
+  timeout: 600,
+  suspicionTimeout: 4000,
+};
 
 /** What the membership is made from. */
 export interface MembershipOptions {
-  readonly self: Self;
+  readonly self: LocalMember;
   readonly transport: PeerTransport;
   readonly clock: Clock;
   readonly random: Random;
@@ -63,7 +67,7 @@
   /** Called when the members change. */
   readonly onChange: () => void;
   /** Called when a peer says that a target is leaving. */
-  readonly onNotice: (target: string) => void;
+  readonly onTargetLeaving: (target: string) => void;
   /** Peer addresses to try besides the known members, such as those of the platform's list. */
   readonly listSeeds: () => readonly string[];
 }
@@ -88,9 +92,9 @@
 
   #roster: Roster = new Map();
 
-  readonly #rumors = new RumorQueue();
+  readonly #rumors = new UpdateQueue();
 
-  readonly #notices = new NoticeBoard();
+  readonly #notices = new NoticeCache();
 
   #turn: readonly string[] = [];
 
@@ -124,7 +128,7 @@
   }
 
   /** Tells all peers that a target is leaving. */
-  announceLeaving(target: string): void {
+  announceTargetLeaving(target: string): void {
     if (this.#notices.add(target, 0, this.options.clock.now())) this.push();
   }
 
@@ -197,7 +201,7 @@
   }
 
   /** Answers a peer's exchange. */
-  answer(request: ExchangeRequest): ExchangeMessage {
+  answerExchange(request: ExchangeRequest): ExchangeMessage {
     this.counts.received += 1;
     this.#absorb(request);
     return this.#compose(request.from.id, request.wantAll);
@@ -309,7 +313,7 @@
 
   #expireSuspects(now: number): void {
     for (const { member, since } of this.#roster.values()) {
-      if (member.state !== 'suspect' || now - since < this.options.times.suspicion) continue;
+      if (member.state !== 'suspect' || now - since < this.options.times.suspicionTimeout) continue;
       this.options.log.warn('member.gone', { member: member.name, id: member.id });
       this.#learn({ ...member, state: 'gone' });
     }
@@ -341,7 +345,7 @@
 
   #hearNotice(notice: Notice): void {
     if (!this.#notices.add(notice.target, notice.age, this.options.clock.now())) return;
-    this.options.onNotice(notice.target);
+    this.options.onTargetLeaving(notice.target);
     this.push();
   }
 
--- a/src/member/notices.ts
+++ b/src/member/notices.ts
@@ -5,7 +5,7 @@
 const MAX_LISTED = 8;
 
 /** The notices that an entry knows. */
-export class NoticeBoard {
+export class NoticeCache {
   readonly #heardAt = new Map<string, number>();
 
   /** Adds a notice of an age; false when it is known or too old. */
--- a/src/member/rumors.ts
+++ b/src/member/update-queue.ts
@@ -6,7 +6,7 @@
 }
 
 /** Chooses which items the next message carries. */
-export class RumorQueue {
+export class UpdateQueue {
   #rumors: readonly Rumor[] = [];
 
   /** Puts an item first, to be sent `times` times. */
--- a/src/peer/codec.ts
+++ b/src/peer/codec.ts
@@ -23,7 +23,7 @@
 }
 
 /** A method with its two messages. */
-export interface Method<Q, A> {
+export interface PeerMethod<Q, A> {
   readonly path: string;
   readonly request: Codec<Q>;
   readonly reply: Codec<A>;
@@ -100,7 +100,7 @@
 }
 
 /** Tells each other what changed. */
-export const exchangeMethod: Method<ExchangeRequest, ExchangeMessage> = {
+export const exchangeMethod: PeerMethod<ExchangeRequest, ExchangeMessage> = {
   path: '/orchidbeam.Peer/Exchange',
   request: createCodec<ExchangeRequest, wire.IExchangeRequest>(
     wire.ExchangeRequest,
@@ -115,7 +115,7 @@
 };
 
 /** Asks a peer to reach another one. */
-export const probeMethod: Method<string, boolean> = {
+export const probeMethod: PeerMethod<string, boolean> = {
   path: '/orchidbeam.Peer/Probe',
   request: createCodec<string, wire.IProbeRequest>(
     wire.ProbeRequest,
@@ -130,7 +130,7 @@
 };
 
 /** Fetches the configuration. */
-export const configMethod: Method<readonly string[], ConfigReply> = {
+export const fetchConfigMethod: PeerMethod<readonly string[], ConfigReply> = {
   path: '/orchidbeam.Peer/FetchConfig',
   request: createCodec<readonly string[], wire.IConfigRequest>(
     wire.ConfigRequest,
@@ -152,7 +152,7 @@
 };
 
 /** Fetches the list of VMs or what changed in it. */
-export const vmsMethod: Method<VmsRequest, VmsReply> = {
+export const fetchVmsMethod: PeerMethod<VmsRequest, VmsReply> = {
   path: '/orchidbeam.Peer/FetchVms',
   request: createCodec<VmsRequest, wire.IVmsRequest>(
     wire.VmsRequest,
--- a/src/peer/grpc.ts
+++ b/src/peer/grpc.ts
@@ -19,11 +19,11 @@
 import { type Address, formatAddress, matchesSecret } from '../kernel/index.js';
 import {
   type Codec,
-  type Method,
-  configMethod,
+  type PeerMethod,
+  fetchConfigMethod,
   exchangeMethod,
   probeMethod,
-  vmsMethod,
+  fetchVmsMethod,
 } from './codec.js';
 import {
   type PeerClient,
@@ -44,7 +44,7 @@
 
 const SECRET_KEY = 'orchidbeam-secret';
 
-function defineMethod<Q, A>(method: Method<Q, A>, counter: Counter) {
+function defineMethod<Q, A>(method: PeerMethod<Q, A>, counter: Counter) {
   const request = countCodec(method.request, counter);
   const reply = countCodec(method.reply, counter);
   return {
@@ -62,8 +62,8 @@
   return {
     exchange: defineMethod(exchangeMethod, counter),
     probe: defineMethod(probeMethod, counter),
-    fetchConfig: defineMethod(configMethod, counter),
-    fetchVms: defineMethod(vmsMethod, counter),
+    fetchConfig: defineMethod(fetchConfigMethod, counter),
+    fetchVms: defineMethod(fetchVmsMethod, counter),
   };
 }
 
@@ -111,7 +111,7 @@
   /** Certificates of the authority that signs the entries' certificates. */
   readonly ca: string;
   /** Milliseconds between two looks at the files. */
-  readonly refresh: number;
+  readonly refreshIntervalMs: number;
 }
 
 interface Credentials {
@@ -127,7 +127,7 @@
     certificateFile: files.cert,
     privateKeyFile: files.key,
     caCertificateFile: files.ca,
-    refreshIntervalMs: files.refresh,
+    refreshIntervalMs: files.refreshIntervalMs,
   });
   return {
     server: experimental.createCertificateProviderServerCredentials(provider, provider, true),
@@ -160,7 +160,7 @@
 
   function callPeer<Q, A>(
     address: Address,
-    method: Method<Q, A>,
+    method: PeerMethod<Q, A>,
     { request, limit }: { readonly request: Q; readonly limit: number },
   ): PeerResult<A> {
     return new Promise((resolve) => {
@@ -185,7 +185,7 @@
   }
 
   return {
-    traffic: () => ({ ...counter }),
+    readTraffic: () => ({ ...counter }),
     async serve(address, handlers: PeerHandlers) {
       const server = new Server(CHANNEL_OPTIONS);
       const implementation: UntypedServiceImplementation = {
@@ -205,8 +205,9 @@
     connect: (address): PeerClient => ({
       exchange: (request, limit) => callPeer(address, exchangeMethod, { request, limit }),
       probe: (peers, limit) => callPeer(address, probeMethod, { request: peers, limit }),
-      fetchConfig: (known, limit) => callPeer(address, configMethod, { request: known, limit }),
-      fetchVms: (known, limit) => callPeer(address, vmsMethod, { request: known, limit }),
+      fetchConfig: (known, limit) =>
+        callPeer(address, fetchConfigMethod, { request: known, limit }),
+      fetchVms: (known, limit) => callPeer(address, fetchVmsMethod, { request: known, limit }),
     }),
     forget(address) {
       clients.get(formatAddress(address))?.close();
--- a/src/peer/transport.ts
+++ b/src/peer/transport.ts
@@ -50,7 +50,7 @@
 
 /** The transport service. */
 export interface PeerTransport {
-  traffic(): PeerTraffic;
+  readTraffic(): PeerTraffic;
   serve(address: Address, handlers: PeerHandlers): Promise<PeerServer>;
   /** Returns the client of a peer; clients of one address are shared. */
   connect(address: Address): PeerClient;
@@ -68,14 +68,14 @@
 }
 
 /** Whether two addresses cannot reach each other in a memory transport. */
-export type Cut = (from: string, to: string) => boolean;
+export type IsLinkCut = (from: string, to: string) => boolean;
 
 /** A transport inside this process, whose links a test can cut. */
 export class MemoryTransports {
   readonly #handlers = new Map<string, PeerHandlers>();
 
   /** Decides which links are cut. */
-  cut: Cut = () => false;
+  isLinkCut: IsLinkCut = () => false;
 
   /** Messages carried since the start. */
   messages = 0;
@@ -88,12 +88,12 @@
     ): Promise<Either<PeerFailure, T>> => {
       const to = formatAddress(address);
       const handlers = this.#handlers.get(to);
-      if (handlers === undefined || this.cut(self, to)) return Left(createPeerFailure('cut'));
+      if (handlers === undefined || this.isLinkCut(self, to)) return Left(createPeerFailure('cut'));
       this.messages += 1;
       return Right(await ask(handlers));
     };
     return {
-      traffic: () => ({ messages: this.messages, bytesOut: 0, bytesIn: 0 }),
+      readTraffic: () => ({ messages: this.messages, bytesOut: 0, bytesIn: 0 }),
       serve: (address, handlers) => {
         const name = formatAddress(address);
         this.#handlers.set(name, handlers);
--- a/src/policy/index.ts
+++ b/src/policy/index.ts
@@ -1,3 +1,3 @@
 /** Policies: compiling a program, and applying a service's programs to a call. */
 export * from './policy.js';
-export * from './ruling.js';
+export * from './outcome.js';
--- a/src/policy/ruling.ts
+++ b/src/policy/outcome.ts
@@ -8,13 +8,13 @@
 }
 
 /** What was decided by which policy, for explanations. */
-export interface RulingStep {
+export interface PolicyStep {
   readonly policy: string;
   readonly outcome: string;
 }
 
 /** The effect of all policies on one call. */
-export interface Ruling {
+export interface PolicyOutcome {
   /** Why the call is refused; undefined lets it run. */
   readonly refusal: string | undefined;
   /** The class of work; undefined keeps the one asked for. */
@@ -24,11 +24,11 @@
   readonly hold: Hold | undefined;
   /** Policies that failed at run time. A failed policy passes the call. */
   readonly failures: readonly string[];
-  readonly steps: readonly RulingStep[];
+  readonly steps: readonly PolicyStep[];
 }
 
 /** A ruling under which a call runs as it is. */
-export const PASSING: Ruling = {
+export const PASS_OUTCOME: PolicyOutcome = {
   refusal: undefined,
   class: undefined,
   pool: undefined,
@@ -37,7 +37,7 @@
   steps: [],
 };
 
-function applyPolicy(ruling: Ruling, policy: Policy, view: PolicyView): Ruling {
+function applyPolicy(ruling: PolicyOutcome, policy: Policy, view: PolicyView): PolicyOutcome {
   const addStep = (outcome: string) => [...ruling.steps, { policy: policy.name, outcome }];
   const result = policy.evaluate(view);
   if (result.isLeft()) {
@@ -65,8 +65,8 @@
 }
 
 /** Applies policies in order. A refusal ends it; of other decisions the last of a kind stands. */
-export function applyPolicies(policies: readonly Policy[], view: PolicyView): Ruling {
-  let ruling = PASSING;
+export function applyPolicies(policies: readonly Policy[], view: PolicyView): PolicyOutcome {
+  let ruling = PASS_OUTCOME;
   for (const policy of policies) {
     ruling = applyPolicy(ruling, policy, view);
     if (ruling.refusal !== undefined) return ruling;
--- a/src/policy/policy.ts
+++ b/src/policy/policy.ts
@@ -59,14 +59,14 @@
 }
 
 /** A variable as the reference shows it. */
-export interface VariableDoc {
+export interface PolicyDocEntry {
   readonly name: string;
   readonly type: string;
   readonly doc: string;
 }
 
 /** The variables of a program, with their units. */
-export const POLICY_VARIABLES: readonly VariableDoc[] = [
+export const POLICY_VARIABLES: readonly PolicyDocEntry[] = [
   { name: 'call.method', type: 'string', doc: 'HTTP method, such as GET' },
   { name: 'call.path', type: 'string', doc: 'Path of the call, without its query' },
   { name: 'call.caller', type: 'string', doc: 'Orchidbeam-Caller header, else the IP number' },
@@ -91,7 +91,7 @@
 ];
 
 /** The decisions a program can return. */
-export const POLICY_DECISIONS: readonly VariableDoc[] = [
+export const POLICY_DECISIONS: readonly PolicyDocEntry[] = [
   { name: 'pass()', type: 'Decision', doc: 'Leaves the call to the next policy' },
   { name: 'refuse(reason)', type: 'Decision', doc: 'Refuses the call as not run' },
   { name: 'classify(class)', type: 'Decision', doc: 'Puts the call into a class of work' },
--- a/src/spread/config-follower.ts
+++ b/src/spread/config-follower.ts
@@ -28,20 +28,24 @@
 import type { ConfigReply, Member, PeerTransport } from '../peer/index.js';
 import type { Platform } from '../platform/index.js';
 import { formatMistake } from '../settings/index.js';
-import { type Proof, joinProofs } from './proof.js';
+import { type Proof, mergeProofs } from './proof.js';
 
 /** Times of the follower, in milliseconds. */
 export interface FollowerTimes {
   /** Between two reads of the manifest by an entry that watches: a watch can skip a change. */
-  readonly reread: number;
+  readonly rereadInterval: number;
   /** Age of the proof at which any daemon reads the manifest itself. */
-  readonly doubt: number;
+  readonly maxProofAge: number;
   /** Longest wait for a peer's reply. */
   readonly timeout: number;
 }
 
 /** The times used unless a test says otherwise. */
-export const DEFAULT_FOLLOWER_TIMES: FollowerTimes = { reread: 3000, doubt: 8000, timeout: 3000 };
+export const DEFAULT_FOLLOWER_TIMES: FollowerTimes = {
+  rereadInterval: 3000,
+  maxProofAge: 8000,
+  timeout: 3000,
+};
 
 /** What the follower is made from. */
 export interface ConfigFollowerOptions {
@@ -60,7 +64,7 @@
 }
 
 /** How many entries watch the platform. */
-export const READERS = 2;
+export const CONFIG_READER_COUNT = 2;
 
 /** A proof is usually no older than this many rereads when it has travelled to everybody. */
 const USUAL_AGE = 1.7;
@@ -97,7 +101,7 @@
   }
 
   /** Whether any configuration was ever learnt; without one nothing is served. */
-  get isKnown(): boolean {
+  get hasConfiguration(): boolean {
     return this.#manifest !== undefined;
   }
 
@@ -114,7 +118,7 @@
   /** Follows until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     await this.readPlatform();
-    let failures = this.isKnown ? 0 : 1;
+    let failures = this.hasConfiguration ? 0 : 1;
     while (!signal.aborted) {
       const wait = failures === 0 ? IDLE_PERIOD : this.#measureBackOff(failures);
       if (this.#isReader()) {
@@ -158,7 +162,7 @@
   }
 
   /** Takes a manifest that this daemon read or wrote in the platform at time `at` or later. */
-  async takeManifest(manifest: Manifest, at: number): Promise<void> {
+  async adoptManifest(manifest: Manifest, at: number): Promise<void> {
     const documents = await this.options.store.readDocuments(manifest);
     if (documents.kind === 'unavailable') return;
     this.#adopt(manifest, documents.documents);
@@ -166,7 +170,7 @@
   }
 
   /** Takes what a peer says it knows; fetches from it when it knows more. */
-  hearKnowledge(from: Member, revision: number, proofAge: number): void {
+  receiveKnowledge(from: Member, revision: number, proofAge: number): void {
     const own = this.#configuration.revision;
     if (revision === own) {
       this.#prove({ revision, at: this.options.clock.now() - proofAge });
@@ -200,13 +204,13 @@
   }
 
   #isReader(): boolean {
-    return this.#findRank() < READERS || this.options.clock.now() < this.#actingUntil;
+    return this.#findRank() < CONFIG_READER_COUNT || this.options.clock.now() < this.#actingUntil;
   }
 
   /** Age of the proof at which this entry reads the platform; the next in order is the first to. */
   #measurePatience(): number {
-    const { reread, doubt } = this.options.times;
-    const rank = this.#findRank() - READERS;
+    const { rereadInterval: reread, maxProofAge: doubt } = this.options.times;
+    const rank = this.#findRank() - CONFIG_READER_COUNT;
     return Math.min(doubt, reread * USUAL_AGE + rank * STAGGER);
   }
 
@@ -214,7 +218,7 @@
   async #watchOnce(signal: AbortSignal): Promise<boolean> {
     const { clock, platform, times } = this.options;
     const limit = new AbortController();
-    const timer = clock.schedule(times.reread, () => limit.abort());
+    const timer = clock.schedule(times.rereadInterval, () => limit.abort());
     const either = AbortSignal.any([signal, limit.signal]);
     const result = await platform.watch(HEAD_KEY, this.#storeVersion, either);
     timer.cancel();
@@ -253,7 +257,7 @@
 
   #prove(proof: Proof): void {
     if (proof.revision !== this.#configuration.revision) return;
-    this.#proof = joinProofs(this.#proof, proof);
+    this.#proof = mergeProofs(this.#proof, proof);
   }
 
   #adopt(manifest: Manifest, documents: Documents): void {
--- a/src/spread/load-board.ts
+++ b/src/spread/home-load-table.ts
@@ -13,7 +13,7 @@
 const MAX_LISTED = 16;
 
 /** Calls a second at which a home tells the others. */
-export const ANNOUNCED_RATE = ENTRY_CALLS_PER_SECOND / 2;
+export const MIN_ANNOUNCED_CALLS_PER_SECOND = ENTRY_CALLS_PER_SECOND / 2;
 
 interface Heard {
   readonly rate: number;
@@ -27,7 +27,7 @@
 }
 
 /** The loads that an entry knows. */
-export class LoadBoard {
+export class HomeLoadTable {
   readonly #heard = new Map<string, Map<string, Heard>>();
 
   readonly #held = new Map<string, Held>();
@@ -54,7 +54,7 @@
   }
 
   /** Whether any service is held at more homes than one, so that placing must be looked at again. */
-  isHolding(): boolean {
+  hasMultipleHomes(): boolean {
     return [...this.#held.values()].some(({ homes }) => homes > 1);
   }
 
--- a/src/spread/index.ts
+++ b/src/spread/index.ts
@@ -3,4 +3,4 @@
 export * from './config-follower.js';
 export * from './vm-list.js';
 export * from './vms-follower.js';
-export * from './load-board.js';
+export * from './home-load-table.js';
--- a/src/spread/proof.ts
+++ b/src/spread/proof.ts
@@ -7,7 +7,7 @@
 }
 
 /** Joins two proofs: a newer revision replaces an older one, and of one revision the later counts. */
-export function joinProofs(a: Proof, b: Proof): Proof {
+export function mergeProofs(a: Proof, b: Proof): Proof {
   if (a.revision !== b.revision) return a.revision > b.revision ? a : b;
   return a.at >= b.at ? a : b;
 }
--- a/src/spread/vm-list.ts
+++ b/src/spread/vm-list.ts
@@ -7,7 +7,7 @@
 export type VmList = ReadonlyMap<string, Vm>;
 
 /** What leads from one list to the next. */
-export interface VmChange {
+export interface VmListChange {
   readonly put: readonly Vm[];
   readonly removed: readonly string[];
 }
@@ -22,7 +22,7 @@
 }
 
 /** Finds what leads from one list to another. */
-export function diffVmLists(before: VmList, after: VmList): VmChange {
+export function diffVmLists(before: VmList, after: VmList): VmListChange {
   const put: Vm[] = [];
   for (const [name, vm] of after) {
     const known = before.get(name);
@@ -32,7 +32,7 @@
 }
 
 /** Applies a change to a list. */
-export function applyVmChange(list: VmList, { put, removed }: VmChange): VmList {
+export function applyVmChange(list: VmList, { put, removed }: VmListChange): VmList {
   const next = new Map(list);
   for (const name of removed) next.delete(name);
   for (const vm of put) next.set(formatAddress(vm.address), vm);
@@ -40,7 +40,7 @@
 }
 
 /** Joins changes that follow each other; of one VM the last word stands. */
-export function joinVmChanges(changes: readonly VmChange[]): VmChange {
+export function mergeVmChanges(changes: readonly VmListChange[]): VmListChange {
   const put = new Map<string, Vm>();
   const removed = new Set<string>();
   for (const change of changes) {
@@ -57,7 +57,7 @@
 }
 
 /** Whether a change changes nothing. */
-export function isEmptyChange({ put, removed }: VmChange): boolean {
+export function isEmptyChange({ put, removed }: VmListChange): boolean {
   return put.length === 0 && removed.length === 0;
 }
 
--- a/src/spread/vms-follower.ts
+++ b/src/spread/vms-follower.ts
@@ -10,13 +10,13 @@
 import type { Member, PeerTransport, VmsReply, VmsRequest } from '../peer/index.js';
 import type { Platform, Vm } from '../platform/index.js';
 import {
-  type VmChange,
+  type VmListChange,
   type VmList,
   applyVmChange,
   createVmList,
   diffVmLists,
   isEmptyChange,
-  joinVmChanges,
+  mergeVmChanges,
   readVm,
   writeVm,
 } from './vm-list.js';
@@ -41,7 +41,7 @@
 
 interface LoggedChange {
   readonly count: number;
-  readonly change: VmChange;
+  readonly change: VmListChange;
 }
 
 const PERIOD = 1000;
@@ -100,7 +100,7 @@
   }
 
   /** Takes what a peer says it knows; fetches from it when its list is newer. */
-  hearKnowledge(from: Member, reader: string, count: number): void {
+  receiveKnowledge(from: Member, reader: string, count: number): void {
     if (reader === '' || reader === this.options.selfId()) return;
     const rightful = this.#findReader();
     if (reader === this.#source.reader) {
@@ -121,11 +121,11 @@
   }
 
   /** What leads from the list that a peer has to the present one; undefined when that is not known. */
-  #findChange(known: VmsRequest): VmChange | undefined {
+  #findChange(known: VmsRequest): VmListChange | undefined {
     if (known.reader !== this.#source.reader || known.count > this.#source.count) return undefined;
     const later = this.#log.filter(({ count }) => count > known.count);
     if (later.length !== this.#source.count - known.count) return undefined;
-    return joinVmChanges(later.map(({ change }) => change));
+    return mergeVmChanges(later.map(({ change }) => change));
   }
 
   #findReader(): string {
@@ -153,7 +153,7 @@
     this.#take(list, diffVmLists(this.#list, list), { reader, count });
   }
 
-  #take(list: VmList, change: VmChange, source: VmsSource): void {
+  #take(list: VmList, change: VmListChange, source: VmsSource): void {
     const follows =
       source.reader === this.#source.reader && source.count === this.#source.count + 1;
     const logged = { count: source.count, change };
--- a/src/tool/soak.ts
+++ b/src/tool/soak.ts
@@ -203,7 +203,7 @@
       else if (draw < 0.6) this.#failPlatform();
       else if (draw < 0.72) this.#cutLinks();
       else if (draw < 0.85) this.#changeConfiguration();
-      else if (draw < 0.9) this.#fleet.transports.cut = () => false;
+      else if (draw < 0.9) this.#fleet.transports.isLinkCut = () => false;
       else await this.#replaceEntry();
     }
   }
@@ -228,7 +228,7 @@
     const half = new Set(shuffleItems(peers, this.#random).slice(0, Math.floor(peers.length / 2)));
     this.#say(`cut ${[...half].join(' ')}`);
     const isHalf = (address: string) => half.has(address.split(':')[0] ?? '');
-    this.#fleet.transports.cut = (from, to) => isHalf(from) !== isHalf(to);
+    this.#fleet.transports.isLinkCut = (from, to) => isHalf(from) !== isHalf(to);
   }
 
   /** Crashes a daemon and starts an empty one. */
@@ -257,7 +257,7 @@
 
   #heal(): void {
     this.#fleet.store.setFault({ kind: 'none' });
-    this.#fleet.transports.cut = () => false;
+    this.#fleet.transports.isLinkCut = () => false;
     for (const target of this.#targets) target.setFault({ kind: 'none' });
   }
 
--- a/test/balance.test.ts
+++ b/test/balance.test.ts
@@ -17,7 +17,7 @@
   parseRegion,
 } from '../src/balance/index.js';
 import type { ClassConfig } from '../src/config/index.js';
-import { LoadBoard } from '../src/spread/index.js';
+import { HomeLoadTable } from '../src/spread/index.js';
 import { InvariantError, ManualClock, createSeededRandom } from '../src/kernel/index.js';
 
 const NORMAL: ClassConfig = { name: 'normal', weight: 4, wait: 1000 };
@@ -363,7 +363,7 @@
   });
 
   it('follow from the measured load, up at once and down after a minute', () => {
-    const board = new LoadBoard();
+    const board = new HomeLoadTable();
     const hear = (rate: number, now: number) =>
       board.add({ service: 's', entry: 'a', rate, age: 0 }, now);
     expect(board.countHomes('s', 0)).to.equal(1);
--- a/test/measure.test.ts
+++ b/test/measure.test.ts
@@ -1,7 +1,7 @@
 /** The measuring budget: one sum for the whole system, whatever fails. */
 import { expect } from 'chai';
 import { InvariantError, ManualClock } from '../src/kernel/index.js';
-import { GRANT_SPAN, MeasuringGrant, buildGrantKey } from '../src/measure/index.js';
+import { GRANT_DURATION_MS, MeasuringGrant, buildGrantKey } from '../src/measure/index.js';
 import { Store, createStorePlatform } from '../src/standin/index.js';
 
 const BUDGET = 2;
@@ -40,7 +40,7 @@
   });
 
   // One grant can lie at each end of the time that is looked at.
-  const ceiling = BUDGET * (SECONDS + GRANT_SPAN / 1000);
+  const ceiling = BUDGET * (SECONDS + GRANT_DURATION_MS / 1000);
 
   describe('is never overspent', () => {
     it('by seventeen daemons', async () => {
@@ -81,7 +81,7 @@
     it('by a daemon that was paused past its grant', async () => {
       const paused = open(store, clock);
       expect(await paused.spend(COST)).to.equal(true);
-      await clock.advance(GRANT_SPAN * 2);
+      await clock.advance(GRANT_DURATION_MS * 2);
       const other = open(store, clock);
       expect(await other.spend(COST)).to.equal(true);
       expect(await paused.spend(COST)).to.equal(false);
--- a/test/member.test.ts
+++ b/test/member.test.ts
@@ -1,7 +1,12 @@
 /** Membership: joins, deaths, false suspicions, pauses, cuts, and its cost. */
 import { expect } from 'chai';
 import { ManualClock, createSeededRandom, createSilentLog } from '../src/kernel/index.js';
-import { DEFAULT_TIMES, Membership, mergeMember, supersedes } from '../src/member/index.js';
+import {
+  DEFAULT_MEMBERSHIP_TIMES,
+  Membership,
+  mergeMember,
+  supersedes,
+} from '../src/member/index.js';
 import { type Knowledge, type Member, MemoryTransports } from '../src/peer/index.js';
 
 const NOTHING: Knowledge = { revision: 0, proofAge: Infinity, vmsReader: '', vmsCount: 0 };
@@ -28,7 +33,7 @@
   cut: (from: string, to: string) => boolean = () => false;
 
   constructor() {
-    this.transports.cut = (from, to) =>
+    this.transports.isLinkCut = (from, to) =>
       this.paused.has(from) || this.paused.has(to) || this.cut(from, to);
   }
 
@@ -38,19 +43,19 @@
     const seeds = this.nodes.slice(0, 1).map((node) => node.peers);
     const membership = new Membership({
       ...{ transport, clock: this.clock, random: createSeededRandom(this.nodes.length + 1) },
-      ...{ log: createSilentLog(), times: DEFAULT_TIMES, readKnowledge: () => NOTHING },
+      ...{ log: createSilentLog(), times: DEFAULT_MEMBERSHIP_TIMES, readKnowledge: () => NOTHING },
       self: { name, domain: 'hu/a', callers: peers, peers, relay: peers, admin: peers },
       onKnowledge: () => undefined,
       listLoads: () => [],
       onLoads: () => undefined,
       onChange: () => undefined,
-      onNotice: (target) => notices.push(target),
+      onTargetLeaving: (target) => notices.push(target),
       listSeeds: () => [...seeds, ...this.nodes.map((node) => node.peers)],
     });
     await transport.serve(
       { host: peers.split(':')[0] ?? '', port: 1 },
       {
-        exchange: async (request) => membership.answer(request),
+        exchange: async (request) => membership.answerExchange(request),
         probe: (address) => membership.probe(address),
         fetchConfig: async () => ({ manifest: '', texts: [], proofAge: 0 }),
         fetchVms: async () => ({ reader: '', count: 0, isWhole: true, vms: [], removed: [] }),
@@ -202,7 +207,7 @@
 
   it('tells all within two seconds that a target is leaving', async () => {
     const group = await createGroup(17);
-    group.nodes[3]?.membership.announceLeaving('10.1.1.1:80');
+    group.nodes[3]?.membership.announceTargetLeaving('10.1.1.1:80');
     await group.run(2);
     const told = group.nodes.filter(({ notices }) => notices.includes('10.1.1.1:80'));
     expect(told).to.have.length(16);
--- a/test/spread.test.ts
+++ b/test/spread.test.ts
@@ -6,11 +6,11 @@
 import type { Platform, Vm } from '../src/platform/index.js';
 import { rankCandidates } from '../src/balance/index.js';
 import {
-  READERS,
+  CONFIG_READER_COUNT,
   applyVmChange,
   createVmList,
   diffVmLists,
-  joinVmChanges,
+  mergeVmChanges,
 } from '../src/spread/index.js';
 import { ManualClock, createMemoryNetwork } from '../src/kernel/index.js';
 import { Fleet, putDocuments, waitUntil, writeService } from './helpers/fleet.js';
@@ -76,7 +76,7 @@
   it('reaches a daemon that is cut off from its peers', async () => {
     const entries = [await fleet.start(), await fleet.start(), await fleet.start()];
     const alone = `127.0.1.3:1`;
-    fleet.transports.cut = (from, to) => from === alone || to === alone;
+    fleet.transports.isLinkCut = (from, to) => from === alone || to === alone;
     change('/b');
     await waitAll(entries, 2);
   });
@@ -112,7 +112,7 @@
   it('serves nothing while no configuration is known, and says so', async () => {
     fleet.store.setFault({ kind: 'down' });
     const entry = await fleet.start();
-    expect(entry.follower.isKnown).to.equal(false);
+    expect(entry.follower.hasConfiguration).to.equal(false);
   });
 
   it('keeps the configuration in force through an outage, and shows its age', async () => {
@@ -165,7 +165,7 @@
     await clock.advance(10_000);
     const [first] = fleet.entries as [Entry];
     const ranked = rankCandidates('config-readers', first.membership.listCandidates());
-    const readers = ranked.slice(0, READERS).map(({ id }) => id);
+    const readers = ranked.slice(0, CONFIG_READER_COUNT).map(({ id }) => id);
     for (const [index, entry] of fleet.entries.entries()) {
       if (readers.includes(entry.membership.self.id)) links[index].cut = true;
     }
@@ -191,7 +191,7 @@
     fc.assert(
       fc.property(lists, lists, lists, (a, b, c) => {
         const changes = [diffVmLists(a, b), diffVmLists(b, c)];
-        const joined = applyVmChange(a, joinVmChanges(changes));
+        const joined = applyVmChange(a, mergeVmChanges(changes));
         expect(Object.fromEntries(joined)).to.deep.equal(Object.fromEntries(c));
       }),
       { seed: 3 },
--- a/test/suspension.test.ts
+++ b/test/suspension.test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { GRANT_SPAN, MeasuringGrant, buildGrantKey } from '../src/measure/index.js';
+import { GRANT_DURATION_MS, MeasuringGrant, buildGrantKey } from '../src/measure/index.js';
 import { ManualClock, SuspensionMeter, createSystemClock } from '../src/kernel/index.js';
 import { Store, createStorePlatform } from '../src/standin/index.js';
 
@@ -101,8 +101,8 @@
     }
     const sleeper = makeGrant(clock);
     expect(await sleeper.spend(6)).to.equal(true);
-    machine.suspend(GRANT_SPAN + 500);
-    await world.advance(GRANT_SPAN + 500);
+    machine.suspend(GRANT_DURATION_MS + 500);
+    await world.advance(GRANT_DURATION_MS + 500);
     const other = makeGrant(world);
     expect(await other.spend(6)).to.equal(true);
     machine.run(20);
--- a/test/tls.test.ts
+++ b/test/tls.test.ts
@@ -76,7 +76,7 @@
     writeFileSync(join(directory, 'cert.pem'), cert);
     writeFileSync(join(directory, 'key.pem'), key);
     const file = join(directory, 'cert.pem');
-    return { cert: file, ca: file, key: join(directory, 'key.pem'), refresh: 100 };
+    return { cert: file, ca: file, key: join(directory, 'key.pem'), refreshIntervalMs: 100 };
   }
 
   it('lets in peers of the same authority who know the secret, and nobody else', async () => {
