--- a/src/member/membership.ts
+++ b/src/member/membership.ts
@@ -78,13 +78,13 @@
   readonly knowledge: Knowledge | undefined;
 }
 
-const MAX_MEMBERS = 8;
-const FORGET_AFTER = 600_000;
-const INDIRECT_PROBES = 2;
+const MAX_MEMBERS_PER_MESSAGE = 8;
+const GONE_RETENTION_MS = 600_000;
+const INDIRECT_PROBE_COUNT = 2;
 const PUSH_FANOUT = 3;
-const PAUSE_PERIODS = 4;
-const SEED_PERIODS = 5;
-const FULL_SYNC_PERIODS = 30;
+const PAUSE_THRESHOLD_PERIODS = 4;
+const SEED_INTERVAL_PERIODS = 5;
+const MIN_FULL_SYNC_PERIODS = 30;
 
 /** The membership of one entry. */
 export class Membership {
@@ -92,17 +92,17 @@
 
   #roster: Roster = new Map();
 
-  readonly #rumors = new UpdateQueue();
+  readonly #updates = new UpdateQueue();
 
   readonly #notices = new NoticeCache();
 
-  #turn: readonly string[] = [];
+  #probeOrder: readonly string[] = [];
 
-  #lastTick = 0;
+  #lastTickAt = 0;
 
-  #ticks = 0;
+  #tickCount = 0;
 
-  #paused = false;
+  #wasPaused = false;
 
   /** Messages sent since the start, and their outcome. */
   readonly counts = { sent: 0, failed: 0, received: 0 };
@@ -144,8 +144,8 @@
   async announceGone(): Promise<void> {
     this.#self = { ...this.#self, state: 'gone' };
     const members = shuffleItems(listMembers(this.#roster, ['live']), this.options.random);
-    const some = members.slice(0, PUSH_FANOUT);
-    await Promise.all(some.map((member) => this.#exchange(member.peers, false)));
+    const chosen = members.slice(0, PUSH_FANOUT);
+    await Promise.all(chosen.map((member) => this.#exchange(member.peers, false)));
   }
 
   /** Exchanges with a few members now, because there is news that cannot wait. */
@@ -168,9 +168,9 @@
         const address = parseAddress(member.peers);
         if (address === undefined) return { member, knowledge: undefined };
         this.counts.sent += 1;
-        const request = { ...this.#compose(member.id, false), wantAll: false };
+        const request = { ...this.#composeMessage(member.id, false), wantAll: false };
         const result = await transport.connect(address).exchange(request, times.timeout);
-        result.ifRight((reply) => this.#absorb(reply));
+        result.ifRight((reply) => this.#receiveMessage(reply));
         return {
           member,
           knowledge: result
@@ -184,27 +184,27 @@
 
   /** Joins through the seeds: asks a few of them for all members. */
   async join(): Promise<void> {
-    const seeds = this.#listStrangers();
-    const asked = shuffleItems(seeds, this.options.random).slice(0, PUSH_FANOUT);
-    await Promise.all(asked.map((peers) => this.#exchange(peers, true)));
+    const seeds = this.#listUnknownSeeds();
+    const chosen = shuffleItems(seeds, this.options.random).slice(0, PUSH_FANOUT);
+    await Promise.all(chosen.map((peers) => this.#exchange(peers, true)));
   }
 
   /** Runs the protocol until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, random, times } = this.options;
-    this.#lastTick = clock.now();
+    this.#lastTickAt = clock.now();
     while (!signal.aborted) {
       await clock.sleep(times.period * (0.9 + random.next() * 0.2), signal);
       if (signal.aborted) return;
-      await this.#tick();
+      await this.#runPeriod();
     }
   }
 
   /** Answers a peer's exchange. */
   answerExchange(request: ExchangeRequest): ExchangeMessage {
     this.counts.received += 1;
-    this.#absorb(request);
-    return this.#compose(request.from.id, request.wantAll);
+    this.#receiveMessage(request);
+    return this.#composeMessage(request.from.id, request.wantAll);
   }
 
   /** Reaches a peer on behalf of another one. */
@@ -216,50 +216,50 @@
     return { ...this.options.self, id: this.options.random.id(), incarnation: 0, state };
   }
 
-  async #tick(): Promise<void> {
+  async #runPeriod(): Promise<void> {
     const { clock, times } = this.options;
     const now = clock.now();
     // After a pause of this process the others' silence says nothing about them.
-    this.#paused = now - this.#lastTick > times.period * PAUSE_PERIODS;
-    if (this.#paused) this.#excuseSuspects(now);
-    this.#lastTick = now;
-    this.#ticks += 1;
+    this.#wasPaused = now - this.#lastTickAt > times.period * PAUSE_THRESHOLD_PERIODS;
+    if (this.#wasPaused) this.#renewSuspicions(now);
+    this.#lastTickAt = now;
+    this.#tickCount += 1;
     this.#expireSuspects(now);
-    this.#roster = forgetGone(this.#roster, now, FORGET_AFTER);
+    this.#roster = forgetGone(this.#roster, now, GONE_RETENTION_MS);
     // A full exchange is as long as the fleet is large, so it comes the more seldom.
-    const full = this.#ticks % Math.max(FULL_SYNC_PERIODS, this.#roster.size) === 0;
-    if (this.#ticks % SEED_PERIODS === 0) await this.#tryStranger();
-    const peer = this.#nextPeer();
+    const wantAll = this.#tickCount % Math.max(MIN_FULL_SYNC_PERIODS, this.#roster.size) === 0;
+    if (this.#tickCount % SEED_INTERVAL_PERIODS === 0) await this.#tryUnknownSeed();
+    const peer = this.#chooseNextPeer();
     if (peer === undefined) return;
-    if (await this.#exchange(peer.peers, full)) return;
-    if (await this.#reachIndirectly(peer)) return;
-    if (!this.#paused) this.#suspect(peer);
+    if (await this.#exchange(peer.peers, wantAll)) return;
+    if (await this.#probeIndirectly(peer)) return;
+    if (!this.#wasPaused) this.#suspect(peer);
   }
 
-  #nextPeer(): Member | undefined {
+  #chooseNextPeer(): Member | undefined {
     const members = new Map(
       listMembers(this.#roster, ['live', 'stopping', 'suspect']).map((m) => [m.id, m]),
     );
     for (;;) {
-      const [id, ...rest] = this.#turn;
+      const [id, ...rest] = this.#probeOrder;
       if (id === undefined) break;
-      this.#turn = rest;
+      this.#probeOrder = rest;
       const member = members.get(id);
       if (member !== undefined) return member;
     }
-    this.#turn = shuffleItems([...members.keys()], this.options.random);
-    const [first] = this.#turn;
-    this.#turn = this.#turn.slice(1);
+    this.#probeOrder = shuffleItems([...members.keys()], this.options.random);
+    const [first] = this.#probeOrder;
+    this.#probeOrder = this.#probeOrder.slice(1);
     return first === undefined ? undefined : members.get(first);
   }
 
   /** Tries an address that no member has: a new entry, or the far side of a healed partition. */
-  async #tryStranger(): Promise<void> {
-    const [stranger] = shuffleItems(this.#listStrangers(), this.options.random);
+  async #tryUnknownSeed(): Promise<void> {
+    const [stranger] = shuffleItems(this.#listUnknownSeeds(), this.options.random);
     if (stranger !== undefined) await this.#exchange(stranger, true);
   }
 
-  #listStrangers(): readonly string[] {
+  #listUnknownSeeds(): readonly string[] {
     const known = new Set(
       listMembers(this.#roster, ['live', 'stopping', 'suspect']).map(({ peers }) => peers),
     );
@@ -272,22 +272,22 @@
     if (address === undefined) return false;
     const { transport, times } = this.options;
     this.counts.sent += 1;
-    const request = { ...this.#compose(peers, wantAll), wantAll };
+    const request = { ...this.#composeMessage(peers, wantAll), wantAll };
     const result = await transport.connect(address).exchange(request, times.timeout);
     if (result.isLeft()) {
       this.counts.failed += 1;
       return false;
     }
     const reply = result.unsafeCoerce();
-    this.#absorb(reply);
-    this.#update(replaceAtAddress(this.#roster, reply.from, this.options.clock.now()));
+    this.#receiveMessage(reply);
+    this.#updateRoster(replaceAtAddress(this.#roster, reply.from, this.options.clock.now()));
     return true;
   }
 
-  async #reachIndirectly(peer: Member): Promise<boolean> {
+  async #probeIndirectly(peer: Member): Promise<boolean> {
     const { random, transport, times } = this.options;
     const others = listMembers(this.#roster, ['live']).filter(({ id }) => id !== peer.id);
-    const helpers = shuffleItems(others, random).slice(0, INDIRECT_PROBES);
+    const helpers = shuffleItems(others, random).slice(0, INDIRECT_PROBE_COUNT);
     const answers = helpers.map(async (helper) => {
       const address = parseAddress(helper.peers);
       if (address === undefined) return false;
@@ -300,37 +300,38 @@
   #suspect(peer: Member): void {
     if (peer.state === 'suspect') return;
     this.options.log.info('member.suspect', { member: peer.name, id: peer.id });
-    this.#learn({ ...peer, state: 'suspect' });
+    this.#applyReport({ ...peer, state: 'suspect' });
   }
 
-  #excuseSuspects(now: number): void {
+  #renewSuspicions(now: number): void {
     const next = new Map(this.#roster);
     for (const [id, entry] of this.#roster) {
-      if (entry.member.state === 'suspect') next.set(id, { ...entry, since: now });
+      if (entry.member.state === 'suspect') next.set(id, { ...entry, stateChangedAt: now });
     }
     this.#roster = next;
   }
 
   #expireSuspects(now: number): void {
-    for (const { member, since } of this.#roster.values()) {
-      if (member.state !== 'suspect' || now - since < this.options.times.suspicionTimeout) continue;
+    for (const { member, stateChangedAt } of this.#roster.values()) {
+      if (member.state !== 'suspect' || now - stateChangedAt < this.options.times.suspicionTimeout)
+        continue;
       this.options.log.warn('member.gone', { member: member.name, id: member.id });
-      this.#learn({ ...member, state: 'gone' });
+      this.#applyReport({ ...member, state: 'gone' });
     }
   }
 
-  #absorb(message: ExchangeMessage): void {
+  #receiveMessage(message: ExchangeMessage): void {
     for (const report of [message.from, ...message.members]) {
-      if (report.id === this.#self.id) this.#hearOfSelf(report);
-      else this.#learn(report);
+      if (report.id === this.#self.id) this.#receiveSelfReport(report);
+      else this.#applyReport(report);
     }
-    for (const notice of message.notices) this.#hearNotice(notice);
+    for (const notice of message.notices) this.#receiveNotice(notice);
     if (message.loads.length > 0) this.options.onLoads(message.loads);
     this.options.onKnowledge(message.from, message.knowledge);
   }
 
   /** Refutes a suspicion; a member declared gone comes back as a new one. */
-  #hearOfSelf(report: Member): void {
+  #receiveSelfReport(report: Member): void {
     if (this.#self.state === 'gone') return;
     if (report.state === 'gone') {
       this.options.log.warn('member.rejoin', { id: this.#self.id });
@@ -343,36 +344,36 @@
     this.push();
   }
 
-  #hearNotice(notice: Notice): void {
+  #receiveNotice(notice: Notice): void {
     if (!this.#notices.add(notice.target, notice.age, this.options.clock.now())) return;
     this.options.onTargetLeaving(notice.target);
     this.push();
   }
 
-  #learn(report: Member): void {
-    this.#update(mergeMember(this.#roster, report, this.options.clock.now()), report.id);
+  #applyReport(report: Member): void {
+    this.#updateRoster(mergeMember(this.#roster, report, this.options.clock.now()), report.id);
   }
 
-  #update(next: Roster, changed?: string): void {
+  #updateRoster(next: Roster, changedId?: string): void {
     if (next === this.#roster) return;
-    const known = changed === undefined ? undefined : this.#roster.get(changed)?.member;
-    const current = changed === undefined ? undefined : next.get(changed)?.member;
+    const previous = changedId === undefined ? undefined : this.#roster.get(changedId)?.member;
+    const current = changedId === undefined ? undefined : next.get(changedId)?.member;
     assertInvariant(
-      known?.state !== 'gone' || current?.state === 'gone',
+      previous?.state !== 'gone' || current?.state === 'gone',
       'a member that is gone stays gone',
     );
     this.#roster = next;
-    if (changed !== undefined) this.#rumors.add(changed, this.#countSendings(next.size));
+    if (changedId !== undefined) this.#updates.add(changedId, this.#computeSendCount(next.size));
     this.options.onChange();
   }
 
   /** An epidemic reaches all with a number of sendings that grows with the logarithm of the fleet. */
-  #countSendings(size: number): number {
+  #computeSendCount(size: number): number {
     return 3 * Math.ceil(Math.log2(size + 2));
   }
 
-  #compose(peerKey: string, all: boolean): ExchangeMessage {
-    const members = all ? this.#listEverything() : this.#listNews(peerKey);
+  #composeMessage(peerKey: string, wantAll: boolean): ExchangeMessage {
+    const members = wantAll ? this.#listKnownMembers() : this.#listUpdates(peerKey);
     return {
       from: this.#self,
       members,
@@ -382,21 +383,21 @@
     };
   }
 
-  #listEverything(): readonly Member[] {
+  #listKnownMembers(): readonly Member[] {
     return [...this.#roster.values()].map(({ member }) => member);
   }
 
   /** The news, and what is believed of the peer itself, so that it can refute. */
-  #listNews(peerKey: string): readonly Member[] {
-    const news = new Map<string, Member>();
+  #listUpdates(peerKey: string): readonly Member[] {
+    const updates = new Map<string, Member>();
     for (const { member } of this.#roster.values()) {
       const isPeer = member.id === peerKey || member.peers === peerKey;
-      if (isPeer && member.state !== 'live') news.set(member.id, member);
+      if (isPeer && member.state !== 'live') updates.set(member.id, member);
     }
-    for (const id of this.#rumors.take(MAX_MEMBERS)) {
+    for (const id of this.#updates.take(MAX_MEMBERS_PER_MESSAGE)) {
       const entry = this.#roster.get(id);
-      if (entry !== undefined) news.set(id, entry.member);
+      if (entry !== undefined) updates.set(id, entry.member);
     }
-    return [...news.values()].slice(0, MAX_MEMBERS);
+    return [...updates.values()].slice(0, MAX_MEMBERS_PER_MESSAGE);
   }
 }
--- a/src/member/roster.ts
+++ b/src/member/roster.ts
@@ -5,20 +5,25 @@
 export interface RosterEntry {
   readonly member: Member;
   /** When the state was last changed here, on the kernel's clock. */
-  readonly since: number;
+  readonly stateChangedAt: number;
 }
 
 /** Members by identifier. */
 export type Roster = ReadonlyMap<string, RosterEntry>;
 
-const RANK: Readonly<Record<MemberState, number>> = { live: 0, stopping: 1, suspect: 2, gone: 3 };
+const STATE_PRECEDENCE: Readonly<Record<MemberState, number>> = {
+  live: 0,
+  stopping: 1,
+  suspect: 2,
+  gone: 3,
+};
 
 /** Whether report `b` replaces belief `a` of the same member. A gone member stays gone. */
-export function supersedes(b: Member, a: Member): boolean {
-  if (a.state === 'gone') return false;
-  if (b.state === 'gone') return true;
-  if (b.incarnation !== a.incarnation) return b.incarnation > a.incarnation;
-  return RANK[b.state] > RANK[a.state];
+export function supersedes(report: Member, known: Member): boolean {
+  if (known.state === 'gone') return false;
+  if (report.state === 'gone') return true;
+  if (report.incarnation !== known.incarnation) return report.incarnation > known.incarnation;
+  return STATE_PRECEDENCE[report.state] > STATE_PRECEDENCE[known.state];
 }
 
 /** Merges one report; returns the same roster when it tells nothing new. */
@@ -26,7 +31,7 @@
   const known = roster.get(report.id);
   if (known !== undefined && !supersedes(report, known.member)) return roster;
   // A member that is unknown and gone is kept too, so that older reports do not bring it back.
-  return new Map(roster).set(report.id, { member: report, since: now });
+  return new Map(roster).set(report.id, { member: report, stateChangedAt: now });
 }
 
 /** Marks every other member at the address of `present` as gone: one process has one address. */
@@ -40,9 +45,9 @@
 }
 
 /** Drops members that have been gone for longer than `span`. */
-export function forgetGone(roster: Roster, now: number, span: number): Roster {
+export function forgetGone(roster: Roster, now: number, retention: number): Roster {
   const kept = [...roster].filter(
-    ([, { member, since }]) => member.state !== 'gone' || now - since < span,
+    ([, { member, stateChangedAt }]) => member.state !== 'gone' || now - stateChangedAt < retention,
   );
   return kept.length === roster.size ? roster : new Map(kept);
 }
--- a/test/member.test.ts
+++ b/test/member.test.ts
@@ -9,7 +9,7 @@
 } from '../src/member/index.js';
 import { type Knowledge, type Member, MemoryTransports } from '../src/peer/index.js';
 
-const NOTHING: Knowledge = { revision: 0, proofAge: Infinity, vmsReader: '', vmsCount: 0 };
+const NO_KNOWLEDGE: Knowledge = { revision: 0, proofAge: Infinity, vmsReader: '', vmsCount: 0 };
 
 interface Node {
   readonly name: string;
@@ -20,7 +20,7 @@
 }
 
 /** Some memberships that share a manual clock and a transport. */
-class Group {
+class TestFleet {
   readonly clock = new ManualClock();
 
   readonly transports = new MemoryTransports();
@@ -43,7 +43,11 @@
     const seeds = this.nodes.slice(0, 1).map((node) => node.peers);
     const membership = new Membership({
       ...{ transport, clock: this.clock, random: createSeededRandom(this.nodes.length + 1) },
-      ...{ log: createSilentLog(), times: DEFAULT_MEMBERSHIP_TIMES, readKnowledge: () => NOTHING },
+      ...{
+        log: createSilentLog(),
+        times: DEFAULT_MEMBERSHIP_TIMES,
+        readKnowledge: () => NO_KNOWLEDGE,
+      },
       self: { name, domain: 'hu/a', callers: peers, peers, relay: peers, admin: peers },
       onKnowledge: () => undefined,
       listLoads: () => [],
@@ -74,7 +78,7 @@
   }
 
   /** Names that each node that is not paused counts as live. */
-  views(): readonly string[] {
+  listViews(): readonly string[] {
     return this.nodes
       .filter(({ peers, stop }) => !this.paused.has(peers) && !stop.signal.aborted)
       .map(({ membership }) =>
@@ -87,8 +91,8 @@
   }
 }
 
-async function createGroup(size: number): Promise<Group> {
-  const group = new Group();
+async function createTestFleet(size: number): Promise<TestFleet> {
+  const group = new TestFleet();
   for (let index = 0; index < size; index += 1) await group.add(`n${index}`);
   await group.run(8);
   return group;
@@ -130,62 +134,62 @@
   });
 
   it('joins all of seventeen', async () => {
-    const group = await createGroup(17);
-    expect(new Set(group.views())).to.deep.equal(new Set([listNames(17)]));
+    const group = await createTestFleet(17);
+    expect(new Set(group.listViews())).to.deep.equal(new Set([listNames(17)]));
   });
 
   it('notices a crash within ten seconds, everywhere', async () => {
-    const group = await createGroup(9);
+    const group = await createTestFleet(9);
     const [, , , , , , , , last] = group.nodes;
     group.paused.add(last?.peers ?? '');
     await group.run(12);
-    expect(new Set(group.views())).to.deep.equal(new Set([listNames(8)]));
+    expect(new Set(group.listViews())).to.deep.equal(new Set([listNames(8)]));
   });
 
   it('takes back a member that was paused for thirty seconds', async () => {
-    const group = await createGroup(5);
+    const group = await createTestFleet(5);
     const [, paused] = group.nodes;
     group.paused.add(paused?.peers ?? '');
     await group.run(30);
-    expect(new Set(group.views())).to.deep.equal(new Set(['n0 n2 n3 n4']));
+    expect(new Set(group.listViews())).to.deep.equal(new Set(['n0 n2 n3 n4']));
     group.paused.clear();
     await group.run(30);
-    expect(new Set(group.views())).to.deep.equal(new Set([listNames(5)]));
+    expect(new Set(group.listViews())).to.deep.equal(new Set([listNames(5)]));
   });
 
   it('does not lose a member that only one other cannot reach', async () => {
-    const group = await createGroup(5);
+    const group = await createTestFleet(5);
     const [first, second] = group.nodes;
     group.cut = (from, to) =>
       (from === first?.peers && to === second?.peers) ||
       (from === second?.peers && to === first?.peers);
     await group.run(30);
-    expect(new Set(group.views())).to.deep.equal(new Set([listNames(5)]));
+    expect(new Set(group.listViews())).to.deep.equal(new Set([listNames(5)]));
   });
 
   it('goes on in both halves of a cut, and heals', async () => {
-    const group = await createGroup(6);
+    const group = await createTestFleet(6);
     const half = new Set(group.nodes.slice(0, 3).map(({ peers }) => peers));
     group.cut = (from, to) => half.has(from) !== half.has(to);
     await group.run(40);
-    expect(new Set(group.views())).to.deep.equal(new Set(['n0 n1 n2', 'n3 n4 n5']));
+    expect(new Set(group.listViews())).to.deep.equal(new Set(['n0 n1 n2', 'n3 n4 n5']));
     group.cut = () => false;
     await group.run(60);
-    expect(new Set(group.views())).to.deep.equal(new Set([listNames(6)]));
+    expect(new Set(group.listViews())).to.deep.equal(new Set([listNames(6)]));
   });
 
   it('heals after an hour apart', async () => {
-    const group = await createGroup(4);
+    const group = await createTestFleet(4);
     const half = new Set(group.nodes.slice(0, 2).map(({ peers }) => peers));
     group.cut = (from, to) => half.has(from) !== half.has(to);
     await group.run(3600);
     group.cut = () => false;
     await group.run(60);
-    expect(new Set(group.views())).to.deep.equal(new Set([listNames(4)]));
+    expect(new Set(group.listViews())).to.deep.equal(new Set([listNames(4)]));
   }).timeout(60_000);
 
   it('knows a restart under the same address as a new member', async () => {
-    const group = await createGroup(3);
+    const group = await createTestFleet(3);
     const [, , old] = group.nodes;
     old?.stop.abort();
     await group.add('n2', old?.peers);
@@ -196,7 +200,7 @@
   });
 
   it('tells all at once that one is stopping', async () => {
-    const group = await createGroup(9);
+    const group = await createTestFleet(9);
     const [, stopping] = group.nodes;
     await stopping?.membership.announceStopping();
     const others = group.nodes.filter((node) => node !== stopping);
@@ -206,7 +210,7 @@
   });
 
   it('tells all within two seconds that a target is leaving', async () => {
-    const group = await createGroup(17);
+    const group = await createTestFleet(17);
     group.nodes[3]?.membership.announceTargetLeaving('10.1.1.1:80');
     await group.run(2);
     const told = group.nodes.filter(({ notices }) => notices.includes('10.1.1.1:80'));
@@ -215,7 +219,7 @@
 
   it('costs each member the same in a fleet of eight and of thirty-two', async () => {
     const measure = async (size: number) => {
-      const group = await createGroup(size);
+      const group = await createTestFleet(size);
       const before = group.transports.messages;
       await group.run(30);
       return (group.transports.messages - before) / size / 30;
