--- a/src/spread/config-follower.ts
+++ b/src/spread/config-follower.ts
@@ -67,12 +67,12 @@
 export const CONFIG_READER_COUNT = 2;
 
 /** A proof is usually no older than this many rereads when it has travelled to everybody. */
-const USUAL_AGE = 1.7;
-const STAGGER = 400;
-const ACTING_SPAN = 30_000;
-const FIRST_BACK_OFF = 250;
-const MAX_BACK_OFF = 4000;
-const IDLE_PERIOD = 500;
+const TYPICAL_PROOF_AGE_REREADS = 1.7;
+const READ_STAGGER_MS = 400;
+const SUBSTITUTE_DURATION_MS = 30_000;
+const INITIAL_BACK_OFF_MS = 250;
+const MAX_BACK_OFF_MS = 4000;
+const IDLE_PERIOD_MS = 500;
 
 /** Follows the configuration for one daemon. */
 export class ConfigFollower {
@@ -91,7 +91,7 @@
   #fault: string | undefined;
 
   /** Until when this entry watches in the place of others. */
-  #actingUntil = -Infinity;
+  #substituteUntil = -Infinity;
 
   constructor(private readonly options: ConfigFollowerOptions) {}
 
@@ -120,7 +120,7 @@
     await this.readPlatform();
     let failures = this.hasConfiguration ? 0 : 1;
     while (!signal.aborted) {
-      const wait = failures === 0 ? IDLE_PERIOD : this.#measureBackOff(failures);
+      const wait = failures === 0 ? IDLE_PERIOD_MS : this.#computeBackOff(failures);
       if (this.#isReader()) {
         if (failures > 0) await this.options.clock.sleep(wait, signal);
         failures = (await this.#watchOnce(signal)) ? 0 : failures + 1;
@@ -128,20 +128,20 @@
       }
       await this.options.clock.sleep(wait, signal);
       if (signal.aborted) return;
-      if (this.proofAge < this.#measurePatience()) {
+      if (this.proofAge < this.#computeMaxProofAge()) {
         failures = 0;
         continue;
       }
-      const isReached = await this.readPlatform();
-      failures = isReached ? 0 : failures + 1;
+      const isAnswered = await this.readPlatform();
+      failures = isAnswered ? 0 : failures + 1;
       // Those who should watch seem not to reach the platform, and this entry does: it stands in.
-      if (isReached) this.#actingUntil = this.options.clock.now() + ACTING_SPAN;
+      if (isAnswered) this.#substituteUntil = this.options.clock.now() + SUBSTITUTE_DURATION_MS;
     }
   }
 
   /** Reads the manifest from the platform; false when the platform did not answer. */
   async readPlatform(): Promise<boolean> {
-    const asked = this.options.clock.now();
+    const requestedAt = this.options.clock.now();
     const head = await this.options.store.readHead();
     if (head.kind === 'unavailable') return false;
     this.#storeVersion = head.item?.version ?? 0;
@@ -157,7 +157,7 @@
     const documents = await this.options.store.readDocuments(head.manifest);
     if (documents.kind === 'unavailable') return false;
     this.#adopt(head.manifest, documents.documents);
-    this.#prove({ revision: head.manifest.revision, at: asked });
+    this.#recordProof({ revision: head.manifest.revision, at: requestedAt });
     return true;
   }
 
@@ -166,17 +166,17 @@
     const documents = await this.options.store.readDocuments(manifest);
     if (documents.kind === 'unavailable') return;
     this.#adopt(manifest, documents.documents);
-    this.#prove({ revision: manifest.revision, at });
+    this.#recordProof({ revision: manifest.revision, at });
   }
 
   /** Takes what a peer says it knows; fetches from it when it knows more. */
   receiveKnowledge(from: Member, revision: number, proofAge: number): void {
-    const own = this.#configuration.revision;
-    if (revision === own) {
-      this.#prove({ revision, at: this.options.clock.now() - proofAge });
+    const ownRevision = this.#configuration.revision;
+    if (revision === ownRevision) {
+      this.#recordProof({ revision, at: this.options.clock.now() - proofAge });
       return;
     }
-    if (revision < own || revision <= this.#fetchingRevision) return;
+    if (revision < ownRevision || revision <= this.#fetchingRevision) return;
     this.#fetchingRevision = revision;
     this.#fetching = this.#fetching
       .then(() => this.#fetchFrom(from))
@@ -188,15 +188,15 @@
   /** Answers a peer that asks for the configuration. */
   answerFetch(known: readonly string[]): ConfigReply {
     if (this.#manifest === undefined) return { manifest: '', texts: [], proofAge: Infinity };
-    const has = new Set(known);
+    const knownHashes = new Set(known);
     const texts = Object.values(this.#manifest.documents)
-      .filter((hash) => !has.has(hash))
+      .filter((hash) => !knownHashes.has(hash))
       .map((hash) => ({ hash, text: this.options.store.getText(hash) ?? '' }));
     return { manifest: formatManifest(this.#manifest), texts, proofAge: this.proofAge };
   }
 
   /** This entry's place in the order of those who watch; the first ones do, the next ones step in. */
-  #findRank(): number {
+  #findReaderRank(): number {
     const ranked = rankCandidates('config-readers', this.options.listCandidates());
     const self = this.options.selfId();
     const rank = ranked.findIndex(({ id }) => id === self);
@@ -204,42 +204,48 @@
   }
 
   #isReader(): boolean {
-    return this.#findRank() < CONFIG_READER_COUNT || this.options.clock.now() < this.#actingUntil;
+    return (
+      this.#findReaderRank() < CONFIG_READER_COUNT ||
+      this.options.clock.now() < this.#substituteUntil
+    );
   }
 
   /** Age of the proof at which this entry reads the platform; the next in order is the first to. */
-  #measurePatience(): number {
-    const { rereadInterval: reread, maxProofAge: doubt } = this.options.times;
-    const rank = this.#findRank() - CONFIG_READER_COUNT;
-    return Math.min(doubt, reread * USUAL_AGE + rank * STAGGER);
+  #computeMaxProofAge(): number {
+    const { rereadInterval, maxProofAge } = this.options.times;
+    const rank = this.#findReaderRank() - CONFIG_READER_COUNT;
+    return Math.min(
+      maxProofAge,
+      rereadInterval * TYPICAL_PROOF_AGE_REREADS + rank * READ_STAGGER_MS,
+    );
   }
 
   /** Waits for a change, but rereads in any case now and then. */
   async #watchOnce(signal: AbortSignal): Promise<boolean> {
     const { clock, platform, times } = this.options;
-    const limit = new AbortController();
-    const timer = clock.schedule(times.rereadInterval, () => limit.abort());
-    const either = AbortSignal.any([signal, limit.signal]);
-    const result = await platform.watch(HEAD_KEY, this.#storeVersion, either);
+    const rereadLimit = new AbortController();
+    const timer = clock.schedule(times.rereadInterval, () => rereadLimit.abort());
+    const stopSignal = AbortSignal.any([signal, rereadLimit.signal]);
+    const result = await platform.watch(HEAD_KEY, this.#storeVersion, stopSignal);
     timer.cancel();
     if (signal.aborted) return true;
     // A watch that fails within its time is a fault; one that we ended is not.
-    if (result.kind === 'unavailable' && !limit.signal.aborted) {
+    if (result.kind === 'unavailable' && !rereadLimit.signal.aborted) {
       await this.readPlatform();
       return false;
     }
     return this.readPlatform();
   }
 
-  #measureBackOff(failures: number): number {
-    const limit = Math.min(MAX_BACK_OFF, FIRST_BACK_OFF * 2 ** failures);
+  #computeBackOff(failures: number): number {
+    const limit = Math.min(MAX_BACK_OFF_MS, INITIAL_BACK_OFF_MS * 2 ** failures);
     return limit * (0.5 + this.options.random.next() / 2);
   }
 
   async #fetchFrom(from: Member): Promise<void> {
     const address = parseAddress(from.peers);
     if (address === undefined) return;
-    const asked = this.options.clock.now();
+    const requestedAt = this.options.clock.now();
     const known = Object.values(this.#manifest?.documents ?? {});
     const peer = this.options.transport.connect(address);
     const result = await peer.fetchConfig(known, this.options.times.timeout);
@@ -252,17 +258,17 @@
     const documents = await this.options.store.readDocuments(manifest);
     if (documents.kind === 'unavailable') return;
     this.#adopt(manifest, documents.documents);
-    this.#prove({ revision: manifest.revision, at: asked - reply.proofAge });
+    this.#recordProof({ revision: manifest.revision, at: requestedAt - reply.proofAge });
   }
 
-  #prove(proof: Proof): void {
+  #recordProof(proof: Proof): void {
     if (proof.revision !== this.#configuration.revision) return;
     this.#proof = mergeProofs(this.#proof, proof);
   }
 
   #adopt(manifest: Manifest, documents: Documents): void {
-    const before = this.#configuration.revision;
-    if (this.#manifest !== undefined && manifest.revision <= before) return;
+    const previousRevision = this.#configuration.revision;
+    if (this.#manifest !== undefined && manifest.revision <= previousRevision) return;
     const checked = checkConfiguration(manifest.revision, documents);
     checked.ifLeft((mistakes) => {
       const [first] = mistakes;
@@ -270,7 +276,10 @@
       this.options.log.error('config.refused', { revision: manifest.revision, fault: this.#fault });
     });
     checked.ifRight((configuration) => {
-      assertInvariant(configuration.revision >= before, 'the revision in force never falls');
+      assertInvariant(
+        configuration.revision >= previousRevision,
+        'the revision in force never falls',
+      );
       this.#fault = undefined;
       this.#manifest = manifest;
       this.#configuration = configuration;
--- a/src/spread/home-load-table.ts
+++ b/src/spread/home-load-table.ts
@@ -8,66 +8,72 @@
 import { ENTRY_CALLS_PER_SECOND } from '../balance/index.js';
 import type { LoadMessage } from '../peer/index.js';
 
-const LIFE = 10_000;
-const FALL_DELAY = 60_000;
-const MAX_LISTED = 16;
+const MAX_LOAD_AGE_MS = 10_000;
+const SCALE_DOWN_DELAY_MS = 60_000;
+const MAX_LOADS_PER_MESSAGE = 16;
 
 /** Calls a second at which a home tells the others. */
 export const MIN_ANNOUNCED_CALLS_PER_SECOND = ENTRY_CALLS_PER_SECOND / 2;
 
-interface Heard {
+interface HomeLoad {
   readonly rate: number;
-  readonly at: number;
+  readonly measuredAt: number;
 }
 
-interface Held {
+interface HomeCount {
   readonly homes: number;
   /** When as many homes were last needed. */
-  readonly at: number;
+  readonly neededAt: number;
 }
 
 /** The loads that an entry knows. */
 export class HomeLoadTable {
-  readonly #heard = new Map<string, Map<string, Heard>>();
+  readonly #loads = new Map<string, Map<string, HomeLoad>>();
 
-  readonly #held = new Map<string, Held>();
+  readonly #homeCounts = new Map<string, HomeCount>();
 
   /** Takes a load of some age; a fresher one of the same home replaces it. */
   add({ service, entry, rate, age }: LoadMessage, now: number): void {
-    const homes = this.#heard.get(service) ?? new Map<string, Heard>();
-    const at = now - age;
-    if (at <= (homes.get(entry)?.at ?? -Infinity) || age > LIFE) return;
-    this.#heard.set(service, homes.set(entry, { rate, at }));
+    const homes = this.#loads.get(service) ?? new Map<string, HomeLoad>();
+    const measuredAt = now - age;
+    if (measuredAt <= (homes.get(entry)?.measuredAt ?? -Infinity) || age > MAX_LOAD_AGE_MS) return;
+    this.#loads.set(service, homes.set(entry, { rate, measuredAt }));
   }
 
   /** Lists fresh loads for a message. */
   list(now: number): readonly LoadMessage[] {
     const loads: LoadMessage[] = [];
-    for (const [service, homes] of this.#heard) {
-      for (const [entry, { rate, at }] of homes) {
-        if (now - at > LIFE) homes.delete(entry);
-        else if (loads.length < MAX_LISTED) loads.push({ service, entry, rate, age: now - at });
+    for (const [service, homes] of this.#loads) {
+      for (const [entry, { rate, measuredAt }] of homes) {
+        if (now - measuredAt > MAX_LOAD_AGE_MS) homes.delete(entry);
+        else if (loads.length < MAX_LOADS_PER_MESSAGE)
+          loads.push({ service, entry, rate, age: now - measuredAt });
       }
-      if (homes.size === 0) this.#heard.delete(service);
+      if (homes.size === 0) this.#loads.delete(service);
     }
     return loads;
   }
 
   /** Whether any service is held at more homes than one, so that placing must be looked at again. */
   hasMultipleHomes(): boolean {
-    return [...this.#held.values()].some(({ homes }) => homes > 1);
+    return [...this.#homeCounts.values()].some(({ homes }) => homes > 1);
   }
 
   /** Returns how many homes a service needs for what was heard; 1 when nothing was. */
   countHomes(service: string, now: number): number {
     let rate = 0;
-    for (const { rate: part, at } of this.#heard.get(service)?.values() ?? []) {
-      if (now - at <= LIFE) rate += part;
+    for (const { rate: homeRate, measuredAt } of this.#loads.get(service)?.values() ?? []) {
+      if (now - measuredAt <= MAX_LOAD_AGE_MS) rate += homeRate;
     }
     const needed = Math.max(1, Math.ceil(rate / ENTRY_CALLS_PER_SECOND));
-    const held = this.#held.get(service);
-    if (held !== undefined && needed < held.homes && now - held.at < FALL_DELAY) return held.homes;
-    this.#held.set(service, { homes: needed, at: now });
+    const previous = this.#homeCounts.get(service);
+    if (
+      previous !== undefined &&
+      needed < previous.homes &&
+      now - previous.neededAt < SCALE_DOWN_DELAY_MS
+    )
+      return previous.homes;
+    this.#homeCounts.set(service, { homes: needed, neededAt: now });
     return needed;
   }
 }
--- a/src/spread/vm-list.ts
+++ b/src/spread/vm-list.ts
@@ -17,7 +17,7 @@
   return new Map(vms.map((vm) => [formatAddress(vm.address), vm]));
 }
 
-function isSame(a: Vm, b: Vm): boolean {
+function isSameVm(a: Vm, b: Vm): boolean {
   return a.role === b.role && a.domain === b.domain && a.state === b.state;
 }
 
@@ -26,7 +26,7 @@
   const put: Vm[] = [];
   for (const [name, vm] of after) {
     const known = before.get(name);
-    if (known === undefined || !isSame(known, vm)) put.push(vm);
+    if (known === undefined || !isSameVm(known, vm)) put.push(vm);
   }
   return { put, removed: [...before.keys()].filter((name) => !after.has(name)) };
 }
--- a/src/spread/vms-follower.ts
+++ b/src/spread/vms-follower.ts
@@ -44,10 +44,10 @@
   readonly change: VmListChange;
 }
 
-const PERIOD = 1000;
-const DOUBT = 10_000;
-const TIMEOUT = 3000;
-const MAX_LOGGED = 64;
+const READ_PERIOD_MS = 1000;
+const MAX_SILENCE_MS = 10_000;
+const FETCH_TIMEOUT_MS = 3000;
+const MAX_LOGGED_CHANGES = 64;
 
 /** Follows the list of VMs for one daemon. */
 export class VmsFollower {
@@ -56,12 +56,12 @@
   #source: VmsSource = { reader: '', count: 0 };
 
   /** Changes of the present reader, without gaps, the last of them leading to the present list. */
-  #log: readonly LoggedChange[] = [];
+  #changeLog: readonly LoggedChange[] = [];
 
-  #ownCount = 0;
+  #ownChangeCount = 0;
 
   /** When the list was last heard to be what it is. */
-  #heardAt = -Infinity;
+  #confirmedAt = -Infinity;
 
   #fetching = false;
 
@@ -80,9 +80,12 @@
   /** Follows until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      const silent = this.options.clock.now() - this.#heardAt > DOUBT;
-      if (this.#findReader() === this.options.selfId() || silent) await this.readPlatform();
-      await this.options.clock.sleep(PERIOD * (0.8 + this.options.random.next() * 0.4), signal);
+      const isSilent = this.options.clock.now() - this.#confirmedAt > MAX_SILENCE_MS;
+      if (this.#findReader() === this.options.selfId() || isSilent) await this.readPlatform();
+      await this.options.clock.sleep(
+        READ_PERIOD_MS * (0.8 + this.options.random.next() * 0.4),
+        signal,
+      );
     }
   }
 
@@ -90,24 +93,24 @@
   async readPlatform(): Promise<void> {
     const result = await this.options.platform.vms();
     if (result.kind === 'unavailable') return;
-    this.#heardAt = this.options.clock.now();
+    this.#confirmedAt = this.options.clock.now();
     const list = createVmList(result.vms);
     const reader = this.options.selfId();
     const change = diffVmLists(this.#list, list);
     if (this.#source.reader === reader && isEmptyChange(change)) return;
-    this.#ownCount += 1;
-    this.#take(list, change, { reader, count: this.#ownCount });
+    this.#ownChangeCount += 1;
+    this.#replaceList(list, change, { reader, count: this.#ownChangeCount });
   }
 
   /** Takes what a peer says it knows; fetches from it when its list is newer. */
   receiveKnowledge(from: Member, reader: string, count: number): void {
     if (reader === '' || reader === this.options.selfId()) return;
-    const rightful = this.#findReader();
+    const designatedReader = this.#findReader();
     if (reader === this.#source.reader) {
-      const isCurrent = count === this.#source.count && reader === rightful;
-      if (isCurrent) this.#heardAt = this.options.clock.now();
+      const isCurrent = count === this.#source.count && reader === designatedReader;
+      if (isCurrent) this.#confirmedAt = this.options.clock.now();
       if (count <= this.#source.count) return;
-    } else if (reader !== rightful && this.#source.reader !== '') {
+    } else if (reader !== designatedReader && this.#source.reader !== '') {
       return;
     }
     this.#fetchFrom(from).catch(() => undefined);
@@ -123,7 +126,7 @@
   /** What leads from the list that a peer has to the present one; undefined when that is not known. */
   #findChange(known: VmsRequest): VmListChange | undefined {
     if (known.reader !== this.#source.reader || known.count > this.#source.count) return undefined;
-    const later = this.#log.filter(({ count }) => count > known.count);
+    const later = this.#changeLog.filter(({ count }) => count > known.count);
     if (later.length !== this.#source.count - known.count) return undefined;
     return mergeVmChanges(later.map(({ change }) => change));
   }
@@ -138,26 +141,28 @@
     if (address === undefined || this.#fetching) return;
     this.#fetching = true;
     const known = this.#source;
-    const result = await this.options.transport.connect(address).fetchVms(known, TIMEOUT);
+    const result = await this.options.transport.connect(address).fetchVms(known, FETCH_TIMEOUT_MS);
     this.#fetching = false;
-    result.ifRight((reply) => this.#takeReply(known, reply));
+    result.ifRight((reply) => this.#applyReply(known, reply));
   }
 
-  #takeReply(known: VmsSource, { reader, count, isWhole, vms, removed }: VmsReply): void {
+  #applyReply(known: VmsSource, { reader, count, isWhole, vms, removed }: VmsReply): void {
     // A change is against the list that was known when it was asked for.
     if (!isWhole && known !== this.#source) return;
     if (reader === this.#source.reader && count <= this.#source.count) return;
     const put = vms.map(readVm).filter((vm) => vm !== undefined);
     const list = isWhole ? createVmList(put) : applyVmChange(this.#list, { put, removed });
-    this.#heardAt = this.options.clock.now();
-    this.#take(list, diffVmLists(this.#list, list), { reader, count });
+    this.#confirmedAt = this.options.clock.now();
+    this.#replaceList(list, diffVmLists(this.#list, list), { reader, count });
   }
 
-  #take(list: VmList, change: VmListChange, source: VmsSource): void {
-    const follows =
+  #replaceList(list: VmList, change: VmListChange, source: VmsSource): void {
+    const isNextChange =
       source.reader === this.#source.reader && source.count === this.#source.count + 1;
-    const logged = { count: source.count, change };
-    this.#log = follows ? [...this.#log, logged].slice(-MAX_LOGGED) : [];
+    const loggedChange = { count: source.count, change };
+    this.#changeLog = isNextChange
+      ? [...this.#changeLog, loggedChange].slice(-MAX_LOGGED_CHANGES)
+      : [];
     this.#list = list;
     this.#source = source;
     if (!isEmptyChange(change)) this.options.onChange(this.vms);
--- a/test/spread.test.ts
+++ b/test/spread.test.ts
@@ -19,19 +19,20 @@
 const DOWN = { kind: 'unavailable', reason: 'cut' } as const;
 
 /** A platform that can be cut off for one daemon alone. */
-class Link {
-  cut = false;
+class PlatformLink {
+  isCut = false;
 
   wrap = (inner: Platform): Platform => ({
-    read: async (key) => (this.cut ? DOWN : inner.read(key)),
-    range: async (prefix) => (this.cut ? DOWN : inner.range(prefix)),
-    swap: async (swap) => (this.cut ? { kind: 'refused', reason: 'cut' } : inner.swap(swap)),
+    read: async (key) => (this.isCut ? DOWN : inner.read(key)),
+    range: async (prefix) => (this.isCut ? DOWN : inner.range(prefix)),
+    swap: async (swap) => (this.isCut ? { kind: 'refused', reason: 'cut' } : inner.swap(swap)),
     remove: async (removal) =>
-      this.cut ? { kind: 'refused', reason: 'cut' } : inner.remove(removal),
-    grantLease: async (ttl) => (this.cut ? DOWN : inner.grantLease(ttl)),
-    renewLease: async (lease) => (this.cut ? DOWN : inner.renewLease(lease)),
-    watch: async (prefix, after, signal) => (this.cut ? DOWN : inner.watch(prefix, after, signal)),
-    vms: async () => (this.cut ? DOWN : inner.vms()),
+      this.isCut ? { kind: 'refused', reason: 'cut' } : inner.remove(removal),
+    grantLease: async (ttl) => (this.isCut ? DOWN : inner.grantLease(ttl)),
+    renewLease: async (lease) => (this.isCut ? DOWN : inner.renewLease(lease)),
+    watch: async (prefix, after, signal) =>
+      this.isCut ? DOWN : inner.watch(prefix, after, signal),
+    vms: async () => (this.isCut ? DOWN : inner.vms()),
   });
 }
 
@@ -62,13 +63,13 @@
   });
 
   it('reaches a daemon that is cut off from the platform', async () => {
-    const link = new Link();
+    const link = new PlatformLink();
     const entries = [
       await fleet.start(),
       await fleet.start(),
       await fleet.start('hu/b', link.wrap),
     ];
-    link.cut = true;
+    link.isCut = true;
     change('/b');
     await waitAll(entries, 2);
   });
@@ -90,8 +91,8 @@
 
   it('comes from peers to an empty daemon that starts in an outage', async () => {
     await fleet.start();
-    const link = new Link();
-    link.cut = true;
+    const link = new PlatformLink();
+    link.isCut = true;
     const fresh = await fleet.start('hu/b', link.wrap);
     // The list of VMs cannot be read either, so another daemon has to find the new one.
     await waitUntil(() => fresh.follower.configuration.revision === 1, 'taken from a peer');
@@ -132,11 +133,11 @@
     putDocuments(fleet.store, { 'service/a': writeService([TARGET]) });
     const starting = Promise.all([fleet.start(), fleet.start('hu/b'), fleet.start('hu/c')]);
     let started = false;
-    const noting = starting.then(() => {
+    const markStarted = starting.then(() => {
       started = true;
     });
     while (!started) await clock.advance(50);
-    await noting;
+    await markStarted;
     await clock.advance(10_000);
     expect(listRevisions(fleet.entries)).to.deep.equal([1, 1, 1]);
     for (const entry of fleet.entries) {
@@ -154,20 +155,20 @@
     const clock = new ManualClock(1_000_000);
     const fleet = new Fleet({ clock, network: createMemoryNetwork() });
     putDocuments(fleet.store, { 'service/a': writeService([TARGET]) });
-    const links = Array.from({ length: 6 }, () => new Link());
+    const links = Array.from({ length: 6 }, () => new PlatformLink());
     const starting = Promise.all(links.map((link, i) => fleet.start(`hu/${i % 3}`, link.wrap)));
     let started = false;
-    const noting = starting.then(() => {
+    const markStarted = starting.then(() => {
       started = true;
     });
     while (!started) await clock.advance(50);
-    await noting;
+    await markStarted;
     await clock.advance(10_000);
     const [first] = fleet.entries as [Entry];
     const ranked = rankCandidates('config-readers', first.membership.listCandidates());
     const readers = ranked.slice(0, CONFIG_READER_COUNT).map(({ id }) => id);
     for (const [index, entry] of fleet.entries.entries()) {
-      if (readers.includes(entry.membership.self.id)) links[index].cut = true;
+      if (readers.includes(entry.membership.self.id)) links[index].isCut = true;
     }
     await clock.advance(9000);
     putDocuments(fleet.store, { 'service/a': writeService([TARGET], 'path_prefix = /b') });
