--- a/src/once/claims.ts
+++ b/src/once/claims.ts
@@ -38,14 +38,14 @@
   readonly request: string;
 }
 
-interface HeldLease {
+interface SharedLease {
   readonly id: string;
-  readonly until: number;
+  readonly shareableUntil: number;
 }
 
-const ATTEMPTS = 5;
-const RETRY_DELAY = 20;
-const LEASE_SPAN = 600_000;
+const MAX_ATTEMPTS = 5;
+const RETRY_DELAY_MS = 20;
+const LEASE_SHARING_MS = 600_000;
 
 /** Key under which the claim of an idempotency key is stored. */
 export function buildClaimKey(service: string, key: string): string {
@@ -55,7 +55,7 @@
 
 /** Makes and releases claims. */
 export class Claims {
-  readonly #leases = new Map<number, Promise<HeldLease | undefined>>();
+  readonly #leases = new Map<number, Promise<SharedLease | undefined>>();
 
   /** Claims by outcome, since the start. */
   readonly counts = { claimed: 0, duplicate: 0, unproven: 0, released: 0 };
@@ -68,14 +68,14 @@
 
   /** Claims the key for one call. */
   async claim(request: ClaimRequest): Promise<ClaimResult> {
-    const result = await this.#attempt(request);
+    const result = await this.#tryClaim(request);
     if (result.kind === 'claimed') this.counts.claimed += 1;
     if (result.kind === 'duplicate') this.counts.duplicate += 1;
     if (result.kind === 'unproven') this.counts.unproven += 1;
     return result;
   }
 
-  async #attempt(request: ClaimRequest): Promise<ClaimResult> {
+  async #tryClaim(request: ClaimRequest): Promise<ClaimResult> {
     const lease = await this.#findLease(request.window);
     if (lease === undefined) return { kind: 'unproven', reason: 'the platform grants no lease' };
     const record: ClaimRecord = { token: this.random.id(), request: request.request };
@@ -84,36 +84,36 @@
       ...{ expect: 0, lease: lease.id },
     };
     let reason = '';
-    for (let attempt = 0; attempt < ATTEMPTS; attempt += 1) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
       if (this.clock.now() >= request.deadline) break;
       // A write whose reply was lost is tried again as it was: it takes effect at most once, and
       // the conflict that the second one meets shows whose call holds the key.
       const result = await this.platform.swap(swap);
-      const settled = this.#interpret(swap.key, result, record);
-      if (settled !== undefined) return settled;
+      const outcome = this.#interpret(swap.key, result, record);
+      if (outcome !== undefined) return outcome;
       reason = 'reason' in result ? result.reason : result.kind;
       if (result.kind === 'refused' && attempt === 0) {
         this.#leases.delete(request.window);
         return { kind: 'unproven', reason };
       }
-      await this.clock.sleep(RETRY_DELAY * 2 ** attempt * (0.5 + this.random.next()));
+      await this.clock.sleep(RETRY_DELAY_MS * 2 ** attempt * (0.5 + this.random.next()));
     }
-    this.#releaseLater(swap.key, record);
+    this.#scheduleRelease(swap.key, record);
     return { kind: 'unproven', reason: reason === '' ? 'deadline' : reason };
   }
 
-  #interpret(key: string, result: WriteResult, mine: ClaimRecord): ClaimResult | undefined {
+  #interpret(key: string, result: WriteResult, own: ClaimRecord): ClaimResult | undefined {
     switch (result.kind) {
       case 'written':
-        return { kind: 'claimed', release: () => this.#release(key, mine, result.version) };
+        return { kind: 'claimed', release: () => this.#release(key, own, result.version) };
       case 'conflict': {
         const { current } = result;
         if (current === undefined) return undefined;
         const holder = JSON.parse(current.value) as ClaimRecord;
-        if (holder.token === mine.token) {
-          return { kind: 'claimed', release: () => this.#release(key, mine, current.version) };
+        if (holder.token === own.token) {
+          return { kind: 'claimed', release: () => this.#release(key, own, current.version) };
         }
-        return holder.request === mine.request
+        return holder.request === own.request
           ? { kind: 'duplicate' }
           : { kind: 'mismatch', request: holder.request };
       }
@@ -126,48 +126,48 @@
   }
 
   /** Frees the key of a call that certainly did not run, so that the caller can send it again. */
-  async #release(key: string, mine: ClaimRecord, version: number): Promise<void> {
+  async #release(key: string, own: ClaimRecord, version: number): Promise<void> {
     const result = await this.platform.remove({ key, expect: version });
     if (result.kind === 'written' || result.kind === 'conflict') {
       this.counts.released += 1;
       return;
     }
-    this.#releaseLater(key, mine);
+    this.#scheduleRelease(key, own);
   }
 
-  #releaseLater(key: string, mine: ClaimRecord): void {
-    this.#releaseUntilDone(key, mine).catch(() => undefined);
+  #scheduleRelease(key: string, own: ClaimRecord): void {
+    this.#releaseWithRetries(key, own).catch(() => undefined);
   }
 
-  async #releaseUntilDone(key: string, mine: ClaimRecord): Promise<void> {
-    for (let attempt = 0; attempt < ATTEMPTS; attempt += 1) {
+  async #releaseWithRetries(key: string, own: ClaimRecord): Promise<void> {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
       await this.clock.sleep(1000 * 2 ** attempt);
       const stored = await this.platform.read(key);
       if (stored.kind === 'absent') return;
       if (stored.kind === 'unavailable') continue;
-      if (!this.#isMine(stored.item, mine)) return;
+      if (!this.#isOwnClaim(stored.item, own)) return;
       const { kind } = await this.platform.remove({ key, expect: stored.item.version });
       if (kind === 'written') this.counts.released += 1;
       if (kind === 'written' || kind === 'conflict') return;
     }
   }
 
-  #isMine(item: StoredValue, mine: ClaimRecord): boolean {
-    return (JSON.parse(item.value) as ClaimRecord).token === mine.token;
+  #isOwnClaim(item: StoredValue, own: ClaimRecord): boolean {
+    return (JSON.parse(item.value) as ClaimRecord).token === own.token;
   }
 
   /** Returns a lease that outlives the window; many claims share one, and it is never renewed. */
-  async #findLease(window: number): Promise<HeldLease | undefined> {
+  async #findLease(window: number): Promise<SharedLease | undefined> {
     const held = await this.#leases.get(window);
-    if (held !== undefined && this.clock.now() < held.until) return held;
-    const granting = this.#grantLease(window);
-    this.#leases.set(window, granting);
-    return granting;
+    if (held !== undefined && this.clock.now() < held.shareableUntil) return held;
+    const pendingLease = this.#grantLease(window);
+    this.#leases.set(window, pendingLease);
+    return pendingLease;
   }
 
-  async #grantLease(window: number): Promise<HeldLease | undefined> {
-    const until = this.clock.now() + LEASE_SPAN;
-    const result = await this.platform.grantLease(window + LEASE_SPAN);
-    return result.kind === 'held' ? { id: result.lease, until } : undefined;
+  async #grantLease(window: number): Promise<SharedLease | undefined> {
+    const until = this.clock.now() + LEASE_SHARING_MS;
+    const result = await this.platform.grantLease(window + LEASE_SHARING_MS);
+    return result.kind === 'held' ? { id: result.lease, shareableUntil: until } : undefined;
   }
 }
--- a/test/once.test.ts
+++ b/test/once.test.ts
@@ -7,23 +7,23 @@
 
 const clock = createSystemClock();
 
-function ask(key: string, request = 'POST /postings', time = 400): ClaimRequest {
-  return { service: 'ledger', key, request, window: 60_000, deadline: clock.now() + time };
+function createRequest(key: string, request = 'POST /postings', timeout = 400): ClaimRequest {
+  return { service: 'ledger', key, request, window: 60_000, deadline: clock.now() + timeout };
 }
 
-type Way = 'fine' | 'lost' | 'lost-before' | 'refused';
+type SwapFault = 'fine' | 'lost' | 'lost-before' | 'refused';
 
-function breakClaims(inner: Platform, ways: readonly Way[]): Platform {
-  let turn = 0;
+function injectSwapFaults(inner: Platform, faults: readonly SwapFault[]): Platform {
+  let swapIndex = 0;
   return {
     ...inner,
     async swap(swap): Promise<WriteResult> {
-      const way = ways[turn] ?? 'fine';
-      turn += 1;
-      if (way === 'refused') return { kind: 'refused', reason: 'test' };
-      if (way === 'lost-before') return { kind: 'unknown', reason: 'test' };
+      const fault = faults[swapIndex] ?? 'fine';
+      swapIndex += 1;
+      if (fault === 'refused') return { kind: 'refused', reason: 'test' };
+      if (fault === 'lost-before') return { kind: 'unknown', reason: 'test' };
       const result = await inner.swap(swap);
-      return way === 'lost' ? { kind: 'unknown', reason: 'test' } : result;
+      return fault === 'lost' ? { kind: 'unknown', reason: 'test' } : result;
     },
   };
 }
@@ -32,9 +32,9 @@
   let store: Store;
   let seed = 0;
 
-  const open = (ways: readonly Way[] = []) => {
+  const openClaims = (faults: readonly SwapFault[] = []) => {
     seed += 1;
-    const platform = breakClaims(createStorePlatform(store, clock), ways);
+    const platform = injectSwapFaults(createStorePlatform(store, clock), faults);
     return new Claims(platform, clock, createSeededRandom(seed));
   };
 
@@ -44,59 +44,61 @@
 
   describe('one key at several entries', () => {
     it('is claimed by exactly one', async () => {
-      const entries = Array.from({ length: 12 }, () => open());
-      const results = await Promise.all(entries.map((claims) => claims.claim(ask('k'))));
+      const entries = Array.from({ length: 12 }, () => openClaims());
+      const results = await Promise.all(entries.map((claims) => claims.claim(createRequest('k'))));
       const kinds = results.map(({ kind }) => kind);
       expect(kinds.filter((kind) => kind === 'claimed')).to.have.length(1);
       expect(kinds.filter((kind) => kind === 'duplicate')).to.have.length(11);
     });
 
     it('is free again after the call was shown not to have run', async () => {
-      const first = await open().claim(ask('k'));
+      const first = await openClaims().claim(createRequest('k'));
       if (first.kind === 'claimed') await first.release();
-      expect((await open().claim(ask('k'))).kind).to.equal('claimed');
+      expect((await openClaims().claim(createRequest('k'))).kind).to.equal('claimed');
     });
 
     it('does not free the claim of another call', async () => {
-      const first = await open().claim(ask('k'));
+      const first = await openClaims().claim(createRequest('k'));
       if (first.kind !== 'claimed') throw new Error('not claimed');
       await first.release();
-      await open().claim(ask('k'));
+      await openClaims().claim(createRequest('k'));
       await first.release();
-      expect((await open().claim(ask('k'))).kind).to.equal('duplicate');
+      expect((await openClaims().claim(createRequest('k'))).kind).to.equal('duplicate');
     });
 
     it('is a mistake of the caller for another path', async () => {
-      await open().claim(ask('k', 'POST /postings'));
-      expect((await open().claim(ask('k', 'POST /deposits'))).kind).to.equal('mismatch');
+      await openClaims().claim(createRequest('k', 'POST /postings'));
+      expect((await openClaims().claim(createRequest('k', 'POST /deposits'))).kind).to.equal(
+        'mismatch',
+      );
     });
   });
 
   describe('a platform that fails', () => {
-    const ROWS: readonly { ways: readonly Way[]; kind: string; stored: boolean }[] = [
+    const ROWS: readonly { ways: readonly SwapFault[]; kind: string; stored: boolean }[] = [
       { ways: ['lost'], kind: 'claimed', stored: true },
       { ways: ['lost-before'], kind: 'claimed', stored: true },
       { ways: ['lost', 'lost-before', 'fine'], kind: 'claimed', stored: true },
       { ways: ['refused'], kind: 'unproven', stored: false },
-      { ways: Array<Way>(9).fill('lost-before'), kind: 'unproven', stored: false },
+      { ways: Array<SwapFault>(9).fill('lost-before'), kind: 'unproven', stored: false },
     ];
     for (const { ways, kind, stored } of ROWS) {
       it(`${[...new Set(ways)].join(', ')}: ${kind}`, async () => {
-        expect((await open(ways).claim(ask('k'))).kind).to.equal(kind);
+        expect((await openClaims(ways).claim(createRequest('k'))).kind).to.equal(kind);
         expect(store.range('once/').items.length > 0).to.equal(stored);
       });
     }
 
     it('down: unproven, and the key stays free', async () => {
       store.setFault({ kind: 'down' });
-      expect((await open().claim(ask('k'))).kind).to.equal('unproven');
+      expect((await openClaims().claim(createRequest('k'))).kind).to.equal('unproven');
       store.setFault({ kind: 'none' });
-      expect((await open().claim(ask('k'))).kind).to.equal('claimed');
+      expect((await openClaims().claim(createRequest('k'))).kind).to.equal('claimed');
     });
 
     it('a lost reply, then another entry: the other one sees a duplicate', async () => {
-      expect((await open(['lost']).claim(ask('k'))).kind).to.equal('claimed');
-      expect((await open().claim(ask('k'))).kind).to.equal('duplicate');
+      expect((await openClaims(['lost']).claim(createRequest('k'))).kind).to.equal('claimed');
+      expect((await openClaims().claim(createRequest('k'))).kind).to.equal('duplicate');
     });
   });
 });
