--- a/src/measure/grants.ts
+++ b/src/measure/grants.ts
@@ -13,10 +13,10 @@
 export const GRANT_DURATION_MS = 10_000;
 
 /** A grant is not used in its last part, so that a slow probe still falls within it. */
-const MARGIN = 1500;
+const GRANT_MARGIN_MS = 1500;
 
 interface Grant {
-  readonly until: number;
+  readonly usableUntil: number;
   readonly amount: number;
   readonly spent: number;
 }
@@ -30,7 +30,7 @@
 export class MeasuringGrant {
   #grant: Grant | undefined;
 
-  #asking = false;
+  #isRequesting = false;
 
   /** Target milliseconds spent since the start. */
   spent = 0;
@@ -51,19 +51,20 @@
 
   /** Spends `cost` target milliseconds if the grant covers them; asks for a grant when it has none. */
   async spend(cost: number): Promise<boolean> {
-    if (this.#take(cost)) return true;
+    if (this.#spendFromGrant(cost)) return true;
     const { clock } = this;
-    const expired = this.#grant === undefined || clock.now() >= this.#grant.until;
-    if (!expired || this.#asking || this.budget * (GRANT_DURATION_MS / 1000) < cost) return false;
-    this.#asking = true;
-    this.#grant = await this.#ask();
-    this.#asking = false;
-    return this.#take(cost);
+    const expired = this.#grant === undefined || clock.now() >= this.#grant.usableUntil;
+    if (!expired || this.#isRequesting || this.budget * (GRANT_DURATION_MS / 1000) < cost)
+      return false;
+    this.#isRequesting = true;
+    this.#grant = await this.#requestGrant();
+    this.#isRequesting = false;
+    return this.#spendFromGrant(cost);
   }
 
-  #take(cost: number): boolean {
+  #spendFromGrant(cost: number): boolean {
     const grant = this.#grant;
-    if (grant === undefined || this.clock.now() >= grant.until) return false;
+    if (grant === undefined || this.clock.now() >= grant.usableUntil) return false;
     if (grant.spent + cost > grant.amount) return false;
     this.#grant = { ...grant, spent: grant.spent + cost };
     this.spent += cost;
@@ -71,9 +72,9 @@
     return true;
   }
 
-  async #ask(): Promise<Grant | undefined> {
+  async #requestGrant(): Promise<Grant | undefined> {
     // The grant ends no later than its lease: time is counted from before the lease was asked for.
-    const asked = this.clock.now();
+    const requestedAt = this.clock.now();
     const lease = await this.platform.grantLease(GRANT_DURATION_MS);
     if (lease.kind !== 'held') return undefined;
     const result = await this.platform.swap({
@@ -82,6 +83,6 @@
     if (result.kind !== 'written') return undefined;
     const amount = (this.budget * GRANT_DURATION_MS) / 1000;
     this.granted += amount;
-    return { until: asked + GRANT_DURATION_MS - MARGIN, amount, spent: 0 };
+    return { usableUntil: requestedAt + GRANT_DURATION_MS - GRANT_MARGIN_MS, amount, spent: 0 };
   }
 }
--- a/test/measure.test.ts
+++ b/test/measure.test.ts
@@ -8,7 +8,7 @@
 const COST = 6;
 const SECONDS = 300;
 
-function open(store: Store, clock: ManualClock): MeasuringGrant {
+function openGrant(store: Store, clock: ManualClock): MeasuringGrant {
   const platform = createStorePlatform(store, clock);
   return new MeasuringGrant(buildGrantKey('ledger', 'main'), BUDGET, platform, clock);
 }
@@ -40,22 +40,25 @@
   });
 
   // One grant can lie at each end of the time that is looked at.
-  const ceiling = BUDGET * (SECONDS + GRANT_DURATION_MS / 1000);
+  const maxSpent = BUDGET * (SECONDS + GRANT_DURATION_MS / 1000);
 
   describe('is never overspent', () => {
     it('by seventeen daemons', async () => {
-      const daemons = Array.from({ length: 17 }, () => open(store, clock));
+      const daemons = Array.from({ length: 17 }, () => openGrant(store, clock));
       const spent = await spendGreedily(clock, () => daemons);
-      expect(spent).to.be.within(1, ceiling);
+      expect(spent).to.be.within(1, maxSpent);
     });
 
     it('by daemons that restart every second', async () => {
-      const spent = await spendGreedily(clock, () => [open(store, clock), open(store, clock)]);
-      expect(spent).to.be.within(1, ceiling);
+      const spent = await spendGreedily(clock, () => [
+        openGrant(store, clock),
+        openGrant(store, clock),
+      ]);
+      expect(spent).to.be.within(1, maxSpent);
     });
 
     it('while the platform comes and goes', async () => {
-      const daemons = [open(store, clock), open(store, clock)];
+      const daemons = [openGrant(store, clock), openGrant(store, clock)];
       const spent = await spendGreedily(
         clock,
         () => daemons,
@@ -63,11 +66,11 @@
           store.setFault({ kind: second % 7 < 3 ? 'down' : 'none' });
         },
       );
-      expect(spent).to.be.within(1, ceiling);
+      expect(spent).to.be.within(1, maxSpent);
     });
 
     it('while replies are lost', async () => {
-      const daemons = [open(store, clock), open(store, clock)];
+      const daemons = [openGrant(store, clock), openGrant(store, clock)];
       const spent = await spendGreedily(
         clock,
         () => daemons,
@@ -75,14 +78,14 @@
           store.setFault({ kind: second % 5 === 0 ? 'lose-write-replies' : 'none' });
         },
       );
-      expect(spent).to.be.within(0, ceiling);
+      expect(spent).to.be.within(0, maxSpent);
     });
 
     it('by a daemon that was paused past its grant', async () => {
-      const paused = open(store, clock);
+      const paused = openGrant(store, clock);
       expect(await paused.spend(COST)).to.equal(true);
       await clock.advance(GRANT_DURATION_MS * 2);
-      const other = open(store, clock);
+      const other = openGrant(store, clock);
       expect(await other.spend(COST)).to.equal(true);
       expect(await paused.spend(COST)).to.equal(false);
     });
@@ -90,11 +93,11 @@
 
   it('is not spent at all without the platform', async () => {
     store.setFault({ kind: 'down' });
-    expect(await open(store, clock).spend(COST)).to.equal(false);
+    expect(await openGrant(store, clock).spend(COST)).to.equal(false);
   });
 
   it('stops the process when more was spent than granted', async () => {
-    const daemon = open(store, clock);
+    const daemon = openGrant(store, clock);
     await daemon.spend(COST);
     daemon.granted = 0;
     let caught: unknown;
