--- a/src/policy/outcome.ts
+++ b/src/policy/outcome.ts
@@ -37,28 +37,31 @@
   steps: [],
 };
 
-function applyPolicy(ruling: PolicyOutcome, policy: Policy, view: PolicyView): PolicyOutcome {
-  const addStep = (outcome: string) => [...ruling.steps, { policy: policy.name, outcome }];
+function applyPolicy(outcome: PolicyOutcome, policy: Policy, view: PolicyView): PolicyOutcome {
+  const addStep = (stepOutcome: string) => [
+    ...outcome.steps,
+    { policy: policy.name, outcome: stepOutcome },
+  ];
   const result = policy.evaluate(view);
   if (result.isLeft()) {
-    const failures = [...ruling.failures, policy.name];
-    return { ...ruling, failures, steps: addStep(`failed: ${result.extract()}`) };
+    const failures = [...outcome.failures, policy.name];
+    return { ...outcome, failures, steps: addStep(`failed: ${result.extract()}`) };
   }
   const decision = result.unsafeCoerce();
   switch (decision.kind) {
     case 'pass':
-      return { ...ruling, steps: addStep('pass') };
+      return { ...outcome, steps: addStep('pass') };
     case 'refuse':
-      return { ...ruling, refusal: decision.reason, steps: addStep(`refuse: ${decision.reason}`) };
+      return { ...outcome, refusal: decision.reason, steps: addStep(`refuse: ${decision.reason}`) };
     case 'classify':
-      return { ...ruling, class: decision.name, steps: addStep(`classify: ${decision.name}`) };
+      return { ...outcome, class: decision.name, steps: addStep(`classify: ${decision.name}`) };
     case 'hold': {
       const share = Math.min(1, Math.max(0, decision.share));
       const hold = { policy: policy.name, share };
-      return { ...ruling, hold, steps: addStep(`hold: ${share}`) };
+      return { ...outcome, hold, steps: addStep(`hold: ${share}`) };
     }
     case 'spread':
-      return { ...ruling, pool: decision.pool, steps: addStep(`spread: ${decision.pool}`) };
+      return { ...outcome, pool: decision.pool, steps: addStep(`spread: ${decision.pool}`) };
     default:
       return decision satisfies never;
   }
@@ -66,10 +69,10 @@
 
 /** Applies policies in order. A refusal ends it; of other decisions the last of a kind stands. */
 export function applyPolicies(policies: readonly Policy[], view: PolicyView): PolicyOutcome {
-  let ruling = PASS_OUTCOME;
+  let outcome = PASS_OUTCOME;
   for (const policy of policies) {
-    ruling = applyPolicy(ruling, policy, view);
-    if (ruling.refusal !== undefined) return ruling;
+    outcome = applyPolicy(outcome, policy, view);
+    if (outcome.refusal !== undefined) return outcome;
   }
-  return ruling;
+  return outcome;
 }
--- a/src/policy/policy.ts
+++ b/src/policy/policy.ts
@@ -103,17 +103,17 @@
   { name: 'spread(pool)', type: 'Decision', doc: 'Sends the call to another pool of the service' },
 ];
 
-const MAX_NODES = 500;
-const MAX_DEPTH = 40;
+const MAX_AST_NODES = 500;
+const MAX_AST_DEPTH = 40;
 
 class DecisionValue {
   constructor(readonly decision: Decision) {}
 }
 
 function createEnvironment(): Environment {
-  const bounds = { maxAstNodes: MAX_NODES, maxDepth: MAX_DEPTH };
-  const make = (decision: Decision) => new DecisionValue(decision);
-  const fieldsOf = (prefix: string) =>
+  const bounds = { maxAstNodes: MAX_AST_NODES, maxDepth: MAX_AST_DEPTH };
+  const makeDecision = (decision: Decision) => new DecisionValue(decision);
+  const listFields = (prefix: string) =>
     Object.fromEntries(
       POLICY_VARIABLES.filter(({ name }) => name.startsWith(prefix)).map(({ name, type }) => [
         name.slice(prefix.length),
@@ -122,22 +122,26 @@
     );
   return new Environment({ limits: bounds })
     .registerType('Decision', { ctor: DecisionValue, fields: {} })
-    .registerVariable({ name: 'call', schema: fieldsOf('call.') })
-    .registerVariable({ name: 'pool', schema: fieldsOf('pool.') })
-    .registerFunction('pass(): Decision', () => make({ kind: 'pass' }))
+    .registerVariable({ name: 'call', schema: listFields('call.') })
+    .registerVariable({ name: 'pool', schema: listFields('pool.') })
+    .registerFunction('pass(): Decision', () => makeDecision({ kind: 'pass' }))
     .registerFunction('refuse(string): Decision', (reason: string) =>
-      make({ kind: 'refuse', reason }),
+      makeDecision({ kind: 'refuse', reason }),
     )
     .registerFunction('classify(string): Decision', (name: string) =>
-      make({ kind: 'classify', name }),
+      makeDecision({ kind: 'classify', name }),
     )
-    .registerFunction('hold(double): Decision', (share: number) => make({ kind: 'hold', share }))
-    .registerFunction('spread(string): Decision', (pool: string) => make({ kind: 'spread', pool }));
+    .registerFunction('hold(double): Decision', (share: number) =>
+      makeDecision({ kind: 'hold', share }),
+    )
+    .registerFunction('spread(string): Decision', (pool: string) =>
+      makeDecision({ kind: 'spread', pool }),
+    );
 }
 
 const environment = createEnvironment();
 
-function readMistake(program: string, error: unknown): PolicyMistake {
+function createMistake(program: string, error: unknown): PolicyMistake {
   const { message, range } = error as Error & { readonly range?: { readonly start: number } };
   const before = program.slice(0, range?.start ?? 0);
   const line = before.split('\n').length;
@@ -149,7 +153,7 @@
 /** Parses and type-checks a program. */
 export function compilePolicy(name: string, program: string): Either<PolicyMistake, Policy> {
   const checked = environment.check(program);
-  if (!checked.valid) return Left(readMistake(program, checked.error));
+  if (!checked.valid) return Left(createMistake(program, checked.error));
   if (checked.type !== 'Decision') {
     const what = `the program returns ${checked.type}`;
     return Left({ line: 1, column: 1, what, expected: 'a Decision such as pass() or refuse("…")' });
