--- a/src/peer/codec.ts
+++ b/src/peer/codec.ts
@@ -64,7 +64,7 @@
     loads: message.loads.map((load) => ({
       ...{ ...load, rate: Math.round(load.rate), age: Math.round(load.age) },
     })),
-    knowledge: { ...message.knowledge, proofAge: clampAge(message.knowledge.proofAge) },
+    knowledge: { ...message.knowledge, proofAge: encodeAge(message.knowledge.proofAge) },
   };
 }
 
@@ -82,21 +82,21 @@
     })),
     knowledge: {
       revision: knowledge?.revision ?? 0,
-      proofAge: readAge(knowledge?.proofAge ?? 0),
+      proofAge: decodeAge(knowledge?.proofAge ?? 0),
       vmsReader: knowledge?.vmsReader ?? '',
       vmsCount: knowledge?.vmsCount ?? 0,
     },
   };
 }
 
-const NEVER = 0xffffffff;
+const NEVER_ON_WIRE = 0xffffffff;
 
-function clampAge(age: number): number {
-  return Math.min(NEVER, Math.round(age));
+function encodeAge(age: number): number {
+  return Math.min(NEVER_ON_WIRE, Math.round(age));
 }
 
-function readAge(age: number): number {
-  return age === NEVER ? Infinity : age;
+function decodeAge(age: number): number {
+  return age === NEVER_ON_WIRE ? Infinity : age;
 }
 
 /** Tells each other what changed. */
@@ -139,14 +139,14 @@
   ),
   reply: createCodec<ConfigReply, wire.IConfigReply>(
     wire.ConfigReply,
-    (reply) => ({ ...reply, proofAge: clampAge(reply.proofAge) }),
+    (reply) => ({ ...reply, proofAge: encodeAge(reply.proofAge) }),
     (message) => ({
       manifest: message.manifest ?? '',
       texts: (message.texts ?? []).map(({ hash, text }) => ({
         hash: hash ?? '',
         text: text ?? '',
       })),
-      proofAge: readAge(message.proofAge ?? 0),
+      proofAge: decodeAge(message.proofAge ?? 0),
     }),
   ),
 };
--- a/src/peer/grpc.ts
+++ b/src/peer/grpc.ts
@@ -42,9 +42,9 @@
   'grpc.enable_http_proxy': 0,
 };
 
-const SECRET_KEY = 'orchidbeam-secret';
+const SECRET_METADATA_KEY = 'orchidbeam-secret';
 
-function defineMethod<Q, A>(method: PeerMethod<Q, A>, counter: Counter) {
+function defineMethod<Q, A>(method: PeerMethod<Q, A>, counter: TrafficCounter) {
   const request = countCodec(method.request, counter);
   const reply = countCodec(method.reply, counter);
   return {
@@ -58,7 +58,7 @@
   } as const;
 }
 
-function definePeerService(counter: Counter) {
+function definePeerService(counter: TrafficCounter) {
   return {
     exchange: defineMethod(exchangeMethod, counter),
     probe: defineMethod(probeMethod, counter),
@@ -67,14 +67,14 @@
   };
 }
 
-interface Counter {
+interface TrafficCounter {
   messages: number;
   bytesOut: number;
   bytesIn: number;
 }
 
 /** Counts the bytes that a codec writes and reads. */
-function countCodec<T>(codec: Codec<T>, counter: Counter): Codec<T> {
+function countCodec<T>(codec: Codec<T>, counter: TrafficCounter): Codec<T> {
   return {
     write: (message) => {
       const bytes = codec.write(message);
@@ -90,9 +90,9 @@
 }
 
 /** Answers a unary call with an async handler, for callers that know the secret. */
-function createUnary<Q, A>(secret: string, handle: (request: Q) => Promise<A>) {
+function createUnaryHandler<Q, A>(secret: string, handle: (request: Q) => Promise<A>) {
   return (call: ServerUnaryCall<Q, A>, done: sendUnaryData<A>) => {
-    const [given = ''] = call.metadata.get(SECRET_KEY);
+    const [given = ''] = call.metadata.get(SECRET_METADATA_KEY);
     if (!matchesSecret(String(given), secret)) {
       done({ code: status.UNAUTHENTICATED, details: 'wrong peer_secret' });
       return;
@@ -145,9 +145,9 @@
 export function createGrpcTransport(secret: string, files?: PeerKeyFiles): PeerTransport {
   const { server: serverCredentials, client: clientCredentials } = createCredentials(files);
   const clients = new Map<string, Client>();
-  const counter: Counter = { messages: 0, bytesOut: 0, bytesIn: 0 };
+  const counter: TrafficCounter = { messages: 0, bytesOut: 0, bytesIn: 0 };
   const metadata = new Metadata();
-  metadata.set(SECRET_KEY, secret);
+  metadata.set(SECRET_METADATA_KEY, secret);
 
   function findClient(address: Address): Client {
     const name = formatAddress(address);
@@ -161,7 +161,7 @@
   function callPeer<Q, A>(
     address: Address,
     method: PeerMethod<Q, A>,
-    { request, limit }: { readonly request: Q; readonly limit: number },
+    { request, timeoutMs }: { readonly request: Q; readonly timeoutMs: number },
   ): PeerResult<A> {
     return new Promise((resolve) => {
       const finish = (error: ServiceError | null, reply?: A): void => {
@@ -177,7 +177,7 @@
         countCodec(method.reply, counter).read,
         request,
         metadata,
-        { deadline: Date.now() + limit },
+        { deadline: Date.now() + timeoutMs },
         finish,
       );
       call.on('error', () => undefined);
@@ -189,10 +189,10 @@
     async serve(address, handlers: PeerHandlers) {
       const server = new Server(CHANNEL_OPTIONS);
       const implementation: UntypedServiceImplementation = {
-        exchange: createUnary(secret, handlers.exchange),
-        probe: createUnary(secret, handlers.probe),
-        fetchConfig: createUnary(secret, handlers.fetchConfig),
-        fetchVms: createUnary(secret, handlers.fetchVms),
+        exchange: createUnaryHandler(secret, handlers.exchange),
+        probe: createUnaryHandler(secret, handlers.probe),
+        fetchConfig: createUnaryHandler(secret, handlers.fetchConfig),
+        fetchVms: createUnaryHandler(secret, handlers.fetchVms),
       };
       server.addService(definePeerService(counter), implementation);
       const port = await new Promise<number>((resolve, reject) => {
@@ -203,11 +203,12 @@
       return { address: { host: address.host, port }, close: () => server.forceShutdown() };
     },
     connect: (address): PeerClient => ({
-      exchange: (request, limit) => callPeer(address, exchangeMethod, { request, limit }),
-      probe: (peers, limit) => callPeer(address, probeMethod, { request: peers, limit }),
-      fetchConfig: (known, limit) =>
-        callPeer(address, fetchConfigMethod, { request: known, limit }),
-      fetchVms: (known, limit) => callPeer(address, fetchVmsMethod, { request: known, limit }),
+      exchange: (request, timeoutMs) => callPeer(address, exchangeMethod, { request, timeoutMs }),
+      probe: (peers, timeoutMs) => callPeer(address, probeMethod, { request: peers, timeoutMs }),
+      fetchConfig: (known, timeoutMs) =>
+        callPeer(address, fetchConfigMethod, { request: known, timeoutMs }),
+      fetchVms: (known, timeoutMs) =>
+        callPeer(address, fetchVmsMethod, { request: known, timeoutMs }),
     }),
     forget(address) {
       clients.get(formatAddress(address))?.close();
--- a/src/peer/transport.ts
+++ b/src/peer/transport.ts
@@ -29,10 +29,10 @@
 
 /** A peer as it is called. Each call ends within the time limit. */
 export interface PeerClient {
-  exchange(request: ExchangeRequest, limit: number): PeerResult<ExchangeMessage>;
-  probe(peers: string, limit: number): PeerResult<boolean>;
-  fetchConfig(known: readonly string[], limit: number): PeerResult<ConfigReply>;
-  fetchVms(known: VmsRequest, limit: number): PeerResult<VmsReply>;
+  exchange(request: ExchangeRequest, timeoutMs: number): PeerResult<ExchangeMessage>;
+  probe(peers: string, timeoutMs: number): PeerResult<boolean>;
+  fetchConfig(known: readonly string[], timeoutMs: number): PeerResult<ConfigReply>;
+  fetchVms(known: VmsRequest, timeoutMs: number): PeerResult<VmsReply>;
 }
 
 /** A running peer listener. */
@@ -84,13 +84,13 @@
   create(self: string): PeerTransport {
     const call = async <T>(
       address: Address,
-      ask: (handlers: PeerHandlers) => Promise<T>,
+      invoke: (handlers: PeerHandlers) => Promise<T>,
     ): Promise<Either<PeerFailure, T>> => {
       const to = formatAddress(address);
       const handlers = this.#handlers.get(to);
       if (handlers === undefined || this.isLinkCut(self, to)) return Left(createPeerFailure('cut'));
       this.messages += 1;
-      return Right(await ask(handlers));
+      return Right(await invoke(handlers));
     };
     return {
       readTraffic: () => ({ messages: this.messages, bytesOut: 0, bytesIn: 0 }),
