--- a/src/spread/config-follower.ts
+++ b/src/spread/config-follower.ts
@@ -64,7 +64,7 @@
 }
 
 /** How many entries watch the platform. */
-export const CONFIG_READER_COUNT = 2;
+export const CONFIG_READERS = 2;
 
 /** A proof is usually no older than this many rereads when it has travelled to everybody. */
 const TYPICAL_PROOF_AGE_REREADS = 1.7;
@@ -196,7 +196,7 @@
   }
 
   /** This entry's place in the order of those who watch; the first ones do, the next ones step in. */
-  #findReaderRank(): number {
+  #findRank(): number {
     const ranked = rankCandidates('config-readers', this.options.listCandidates());
     const self = this.options.selfId();
     const rank = ranked.findIndex(({ id }) => id === self);
@@ -204,16 +204,13 @@
   }
 
   #isReader(): boolean {
-    return (
-      this.#findReaderRank() < CONFIG_READER_COUNT ||
-      this.options.clock.now() < this.#substituteUntil
-    );
+    return this.#findRank() < CONFIG_READERS || this.options.clock.now() < this.#substituteUntil;
   }
 
   /** Age of the proof at which this entry reads the platform; the next in order is the first to. */
   #computeMaxProofAge(): number {
     const { rereadInterval, maxProofAge } = this.options.times;
-    const rank = this.#findReaderRank() - CONFIG_READER_COUNT;
+    const rank = this.#findRank() - CONFIG_READERS;
     return Math.min(
       maxProofAge,
       rereadInterval * TYPICAL_PROOF_AGE_REREADS + rank * READ_STAGGER_MS,
--- a/test/spread.test.ts
+++ b/test/spread.test.ts
@@ -6,7 +6,7 @@
 import type { Platform, Vm } from '../src/platform/index.js';
 import { rankCandidates } from '../src/balance/index.js';
 import {
-  CONFIG_READER_COUNT,
+  CONFIG_READERS,
   applyVmChange,
   createVmList,
   diffVmLists,
@@ -20,19 +20,18 @@
 
 /** A platform that can be cut off for one daemon alone. */
 class PlatformLink {
-  isCut = false;
+  cut = false;
 
   wrap = (inner: Platform): Platform => ({
-    read: async (key) => (this.isCut ? DOWN : inner.read(key)),
-    range: async (prefix) => (this.isCut ? DOWN : inner.range(prefix)),
-    swap: async (swap) => (this.isCut ? { kind: 'refused', reason: 'cut' } : inner.swap(swap)),
+    read: async (key) => (this.cut ? DOWN : inner.read(key)),
+    range: async (prefix) => (this.cut ? DOWN : inner.range(prefix)),
+    swap: async (swap) => (this.cut ? { kind: 'refused', reason: 'cut' } : inner.swap(swap)),
     remove: async (removal) =>
-      this.isCut ? { kind: 'refused', reason: 'cut' } : inner.remove(removal),
-    grantLease: async (ttl) => (this.isCut ? DOWN : inner.grantLease(ttl)),
-    renewLease: async (lease) => (this.isCut ? DOWN : inner.renewLease(lease)),
-    watch: async (prefix, after, signal) =>
-      this.isCut ? DOWN : inner.watch(prefix, after, signal),
-    vms: async () => (this.isCut ? DOWN : inner.vms()),
+      this.cut ? { kind: 'refused', reason: 'cut' } : inner.remove(removal),
+    grantLease: async (ttl) => (this.cut ? DOWN : inner.grantLease(ttl)),
+    renewLease: async (lease) => (this.cut ? DOWN : inner.renewLease(lease)),
+    watch: async (prefix, after, signal) => (this.cut ? DOWN : inner.watch(prefix, after, signal)),
+    vms: async () => (this.cut ? DOWN : inner.vms()),
   });
 }
 
@@ -69,7 +68,7 @@
       await fleet.start(),
       await fleet.start('hu/b', link.wrap),
     ];
-    link.isCut = true;
+    link.cut = true;
     change('/b');
     await waitAll(entries, 2);
   });
@@ -92,7 +91,7 @@
   it('comes from peers to an empty daemon that starts in an outage', async () => {
     await fleet.start();
     const link = new PlatformLink();
-    link.isCut = true;
+    link.cut = true;
     const fresh = await fleet.start('hu/b', link.wrap);
     // The list of VMs cannot be read either, so another daemon has to find the new one.
     await waitUntil(() => fresh.follower.configuration.revision === 1, 'taken from a peer');
@@ -166,9 +165,9 @@
     await clock.advance(10_000);
     const [first] = fleet.entries as [Entry];
     const ranked = rankCandidates('config-readers', first.membership.listCandidates());
-    const readers = ranked.slice(0, CONFIG_READER_COUNT).map(({ id }) => id);
+    const readers = ranked.slice(0, CONFIG_READERS).map(({ id }) => id);
     for (const [index, entry] of fleet.entries.entries()) {
-      if (readers.includes(entry.membership.self.id)) links[index].isCut = true;
+      if (readers.includes(entry.membership.self.id)) links[index].cut = true;
     }
     await clock.advance(9000);
     putDocuments(fleet.store, { 'service/a': writeService([TARGET], 'path_prefix = /b') });
