--- a/src/member/membership.ts
+++ b/src/member/membership.ts
@@ -1,10 +1,11 @@
 /**
- * Membership among the entries, in the manner of SWIM.
+ * Membership of the entry daemons, a gossip protocol modelled on SWIM.
  *
- * Every period each entry exchanges a bounded message with one other, so the cost per daemon does
- * not depend on the size of the fleet. A peer that does not answer is tried through two others before
- * it is suspected, and a suspected one has time to refute. The platform takes no part, so its outage
- * is nobody's death.
+ * In each protocol period an entry exchanges one message of bounded size with one peer, so the
+ * cost per daemon does not depend on the size of the fleet. A peer that does not answer is probed
+ * through two others before it is suspected, and a suspected member has time to refute the
+ * suspicion. The protocol does not use the platform, so an outage of the platform removes no
+ * member.
  */
 import {
   type Clock,
@@ -28,27 +29,27 @@
 import { NoticeCache } from './notices.js';
 import { UpdateQueue } from './update-queue.js';
 
-/** Where this entry is, as others are told. */
+/** Name, failure domain and addresses of this entry, as it announces them to its peers. */
 export type LocalMember = Omit<Member, 'id' | 'incarnation' | 'state'>;
 
-/** Times of the protocol, in milliseconds. */
+/** Times of the membership protocol, in milliseconds. */
 export interface MembershipTimes {
-  /** Between two exchanges that an entry starts. */
+  /** Time between two exchanges that an entry starts. */
   readonly period: number;
-  /** Longest wait for a peer. */
+  /** Timeout of an exchange with a peer. */
   readonly timeout: number;
-  /** From suspicion to gone, unless refuted. */
+  /** Time from suspected to gone, unless the member refutes the suspicion. */
   readonly suspicionTimeout: number;
 }
 
-/** The times used unless a test says otherwise. */
+/** Default times of the membership protocol. */
 export const DEFAULT_MEMBERSHIP_TIMES: MembershipTimes = {
   period: 1000,
   timeout: 600,
   suspicionTimeout: 4000,
 };
 
-/** What the membership is made from. */
+/** Dependencies and callbacks of a {@link Membership}. */
 export interface MembershipOptions {
   readonly self: LocalMember;
   readonly transport: PeerTransport;
@@ -56,23 +57,23 @@
   readonly random: Random;
   readonly log: Log;
   readonly times: MembershipTimes;
-  /** What this daemon tells about the configuration and the VM list. */
+  /** Returns the versions of the configuration and the VM list that this daemon has. */
   readonly readKnowledge: () => Knowledge;
-  /** Called with what a peer knows. */
+  /** Called with the versions that a peer reports. */
   readonly onKnowledge: (from: Member, knowledge: Knowledge) => void;
-  /** How busy this entry and others are, for messages. */
+  /** Lists the known loads of this entry and others for an outgoing message. */
   readonly listLoads: () => readonly LoadMessage[];
-  /** Called with how busy others are. */
+  /** Called with the loads in a received message. */
   readonly onLoads: (loads: readonly LoadMessage[]) => void;
-  /** Called when the members change. */
+  /** Called when the roster or this entry's own state changes. */
   readonly onChange: () => void;
-  /** Called when a peer says that a target is leaving. */
+  /** Called when a peer first reports that a target is leaving. */
   readonly onTargetLeaving: (target: string) => void;
-  /** Peer addresses to try besides the known members, such as those of the platform's list. */
+  /** Lists peer addresses to try besides known members, such as those in the platform's list. */
   readonly listSeeds: () => readonly string[];
 }
 
-/** What a member answered when it was asked. */
+/** A member and its reply to a poll; `knowledge` is undefined when it did not answer. */
 export interface PolledMember {
   readonly member: Member;
   readonly knowledge: Knowledge | undefined;
@@ -82,11 +83,12 @@
 const GONE_RETENTION_MS = 600_000;
 const INDIRECT_PROBE_COUNT = 2;
 const PUSH_FANOUT = 3;
+/** A gap between two periods that is longer than this counts as a pause of this process. */
 const PAUSE_THRESHOLD_PERIODS = 4;
 const SEED_INTERVAL_PERIODS = 5;
 const MIN_FULL_SYNC_PERIODS = 30;
 
-/** The membership of one entry. */
+/** The membership protocol of one entry. */
 export class Membership {
   #self: Member;
 
@@ -96,6 +98,7 @@
 
   readonly #notices = new NoticeCache();
 
+  /** Identifiers of members still to be probed in this round, in random order. */
   #probeOrder: readonly string[] = [];
 
   #lastTickAt = 0;
@@ -104,35 +107,35 @@
 
   #wasPaused = false;
 
-  /** Messages sent since the start, and their outcome. */
+  /** Exchanges sent, failed and received since the start. */
   readonly counts = { sent: 0, failed: 0, received: 0 };
 
   constructor(private readonly options: MembershipOptions) {
     this.#self = this.#createSelf('live');
   }
 
-  /** This entry as others are told. */
+  /** This entry as it is announced to its peers. */
   get self(): Member {
     return this.#self;
   }
 
-  /** Members that are live or only suspected, with this entry unless it is stopping. */
+  /** Returns the live and suspected members, including this entry unless it is stopping. */
   listCandidates(): readonly Member[] {
     const others = listMembers(this.#roster, ['live', 'suspect']);
     return this.#self.state === 'live' ? [this.#self, ...others] : others;
   }
 
-  /** All members that are not gone, with this entry first. */
+  /** Returns all members that are not gone, this entry first. */
   listAll(): readonly Member[] {
     return [this.#self, ...listMembers(this.#roster, ['live', 'stopping', 'suspect'])];
   }
 
-  /** Tells all peers that a target is leaving. */
+  /** Announces to all peers that a target is leaving. */
   announceTargetLeaving(target: string): void {
     if (this.#notices.add(target, 0, this.options.clock.now())) this.push();
   }
 
-  /** Says that this entry is stopping, to every member at once. */
+  /** Announces directly to every live or suspected member that this entry is stopping. */
   async announceStopping(): Promise<void> {
     this.#self = { ...this.#self, state: 'stopping' };
     this.options.onChange();
@@ -140,7 +143,7 @@
     await Promise.all(members.map((member) => this.#exchange(member.peers, false)));
   }
 
-  /** Says that this entry is gone, to a few members, who pass it on. */
+  /** Announces to a few live members that this entry is gone; they pass it on by gossip. */
   async announceGone(): Promise<void> {
     this.#self = { ...this.#self, state: 'gone' };
     const members = shuffleItems(listMembers(this.#roster, ['live']), this.options.random);
@@ -148,7 +151,7 @@
     await Promise.all(chosen.map((member) => this.#exchange(member.peers, false)));
   }
 
-  /** Exchanges with a few members now, because there is news that cannot wait. */
+  /** Exchanges with a few live members at once, for an update that must not wait for a period. */
   push(): void {
     const members = shuffleItems(listMembers(this.#roster, ['live']), this.options.random);
     for (const member of members.slice(0, PUSH_FANOUT)) {
@@ -157,8 +160,8 @@
   }
 
   /**
-   * Asks every member that is not gone for what it knows; undefined when it did not answer.
-   * Its cost grows with the fleet, so it is for the acts of operators only.
+   * Asks every member that is not gone for its versions of the configuration and the VM list.
+   * The cost grows with the fleet, so this is only for requests of operators.
    */
   async pollAll(): Promise<readonly PolledMember[]> {
     const { transport, times } = this.options;
@@ -182,14 +185,14 @@
     );
   }
 
-  /** Joins through the seeds: asks a few of them for all members. */
+  /** Joins the fleet: asks a few of the seeds for all members. */
   async join(): Promise<void> {
     const seeds = this.#listUnknownSeeds();
     const chosen = shuffleItems(seeds, this.options.random).slice(0, PUSH_FANOUT);
     await Promise.all(chosen.map((peers) => this.#exchange(peers, true)));
   }
 
-  /** Runs the protocol until the signal aborts. */
+  /** Runs the protocol until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, random, times } = this.options;
     this.#lastTickAt = clock.now();
@@ -200,14 +203,14 @@
     }
   }
 
-  /** Answers a peer's exchange. */
+  /** Answers an exchange that a peer started. */
   answerExchange(request: ExchangeRequest): ExchangeMessage {
     this.counts.received += 1;
     this.#receiveMessage(request);
     return this.#composeMessage(request.from.id, request.wantAll);
   }
 
-  /** Reaches a peer on behalf of another one. */
+  /** Probes the entry at the address `peers` on behalf of another entry; true when it answers. */
   async probe(peers: string): Promise<boolean> {
     return this.#exchange(peers, false);
   }
@@ -219,14 +222,14 @@
   async #runPeriod(): Promise<void> {
     const { clock, times } = this.options;
     const now = clock.now();
-    // After a pause of this process the others' silence says nothing about them.
+    // After a pause of this process, missing replies are no evidence that peers failed.
     this.#wasPaused = now - this.#lastTickAt > times.period * PAUSE_THRESHOLD_PERIODS;
     if (this.#wasPaused) this.#renewSuspicions(now);
     this.#lastTickAt = now;
     this.#tickCount += 1;
     this.#expireSuspects(now);
     this.#roster = forgetGone(this.#roster, now, GONE_RETENTION_MS);
-    // A full exchange is as long as the fleet is large, so it comes the more seldom.
+    // The size of a full exchange grows with the fleet, so its interval grows, too.
     const wantAll = this.#tickCount % Math.max(MIN_FULL_SYNC_PERIODS, this.#roster.size) === 0;
     if (this.#tickCount % SEED_INTERVAL_PERIODS === 0) await this.#tryUnknownSeed();
     const peer = this.#chooseNextPeer();
@@ -253,7 +256,7 @@
     return first === undefined ? undefined : members.get(first);
   }
 
-  /** Tries an address that no member has: a new entry, or the far side of a healed partition. */
+  /** Tries an unknown seed: a new entry, or one from across a partition that has healed. */
   async #tryUnknownSeed(): Promise<void> {
     const [stranger] = shuffleItems(this.#listUnknownSeeds(), this.options.random);
     if (stranger !== undefined) await this.#exchange(stranger, true);
@@ -306,14 +309,14 @@
   #renewSuspicions(now: number): void {
     const next = new Map(this.#roster);
     for (const [id, entry] of this.#roster) {
-      if (entry.member.state === 'suspect') next.set(id, { ...entry, stateChangedAt: now });
+      if (entry.member.state === 'suspect') next.set(id, { ...entry, changedAt: now });
     }
     this.#roster = next;
   }
 
   #expireSuspects(now: number): void {
-    for (const { member, stateChangedAt } of this.#roster.values()) {
-      if (member.state !== 'suspect' || now - stateChangedAt < this.options.times.suspicionTimeout)
+    for (const { member, changedAt } of this.#roster.values()) {
+      if (member.state !== 'suspect' || now - changedAt < this.options.times.suspicionTimeout)
         continue;
       this.options.log.warn('member.gone', { member: member.name, id: member.id });
       this.#applyReport({ ...member, state: 'gone' });
@@ -330,7 +333,7 @@
     this.options.onKnowledge(message.from, message.knowledge);
   }
 
-  /** Refutes a suspicion; a member declared gone comes back as a new one. */
+  /** Refutes a suspicion of this entry; rejoins under a new identifier when declared gone. */
   #receiveSelfReport(report: Member): void {
     if (this.#self.state === 'gone') return;
     if (report.state === 'gone') {
@@ -360,14 +363,14 @@
     const current = changedId === undefined ? undefined : next.get(changedId)?.member;
     assertInvariant(
       previous?.state !== 'gone' || current?.state === 'gone',
-      'a member that is gone stays gone',
+      'a member that is gone must not change state',
     );
     this.#roster = next;
     if (changedId !== undefined) this.#updates.add(changedId, this.#computeSendCount(next.size));
     this.options.onChange();
   }
 
-  /** An epidemic reaches all with a number of sendings that grows with the logarithm of the fleet. */
+  /** Gossip reaches all members when each update is sent O(log n) times in a fleet of n. */
   #computeSendCount(size: number): number {
     return 3 * Math.ceil(Math.log2(size + 2));
   }
@@ -387,7 +390,7 @@
     return [...this.#roster.values()].map(({ member }) => member);
   }
 
-  /** The news, and what is believed of the peer itself, so that it can refute. */
+  /** Lists queued updates, and the peer's own state unless it is live, so that it can refute it. */
   #listUpdates(peerKey: string): readonly Member[] {
     const updates = new Map<string, Member>();
     for (const { member } of this.#roster.values()) {
--- a/src/member/notices.ts
+++ b/src/member/notices.ts
@@ -1,21 +1,21 @@
-/** Notices that targets are leaving, kept for a while so that each is passed on once. */
+/** Notices that targets are leaving, kept for a limited time so that each is accepted only once. */
 import type { Notice } from '../peer/index.js';
 
 const MAX_NOTICE_AGE_MS = 10_000;
 const MAX_NOTICES_PER_MESSAGE = 8;
 
-/** The notices that an entry knows. */
+/** The recent notices that an entry knows. */
 export class NoticeCache {
   readonly #announcedAt = new Map<string, number>();
 
-  /** Adds a notice of an age; false when it is known or too old. */
+  /** Adds a notice that is `age` milliseconds old; false when it is known already or too old. */
   add(target: string, age: number, now: number): boolean {
     if (age > MAX_NOTICE_AGE_MS || this.#announcedAt.has(target)) return false;
     this.#announcedAt.set(target, now - age);
     return true;
   }
 
-  /** Lists some notices for a message, and forgets the old ones. */
+  /** Lists notices for a message, up to its maximum, and removes expired ones. */
   list(now: number): readonly Notice[] {
     const notices: Notice[] = [];
     for (const [target, at] of this.#announcedAt) {
--- a/src/member/roster.ts
+++ b/src/member/roster.ts
@@ -1,11 +1,11 @@
-/** What one entry believes of the others: an immutable value, changed by merging reports. */
+/** The members that one entry knows: an immutable value that is updated by merging reports. */
 import type { Member, MemberState } from '../peer/index.js';
 
-/** A member with the time of its last change of state. */
+/** A member and when its record last changed here. */
 export interface RosterEntry {
   readonly member: Member;
-  /** When the state was last changed here, on the kernel's clock. */
-  readonly stateChangedAt: number;
+  /** On the kernel's clock, in milliseconds. */
+  readonly changedAt: number;
 }
 
 /** Members by identifier. */
@@ -18,7 +18,7 @@
   gone: 3,
 };
 
-/** Whether report `b` replaces belief `a` of the same member. A gone member stays gone. */
+/** Whether `report` replaces the `known` state of the same member. A gone member stays gone. */
 export function supersedes(report: Member, known: Member): boolean {
   if (known.state === 'gone') return false;
   if (report.state === 'gone') return true;
@@ -26,15 +26,15 @@
   return STATE_PRECEDENCE[report.state] > STATE_PRECEDENCE[known.state];
 }
 
-/** Merges one report; returns the same roster when it tells nothing new. */
+/** Merges one report; returns the same roster when it does not supersede the known state. */
 export function mergeMember(roster: Roster, report: Member, now: number): Roster {
   const known = roster.get(report.id);
   if (known !== undefined && !supersedes(report, known.member)) return roster;
-  // A member that is unknown and gone is kept too, so that older reports do not bring it back.
-  return new Map(roster).set(report.id, { member: report, stateChangedAt: now });
+  // An unknown member that is gone is kept, too, so that older reports do not bring it back.
+  return new Map(roster).set(report.id, { member: report, changedAt: now });
 }
 
-/** Marks every other member at the address of `present` as gone: one process has one address. */
+/** Marks other members at the address of `present` as gone: an address has only one process. */
 export function replaceAtAddress(roster: Roster, present: Member, now: number): Roster {
   let next = roster;
   for (const { member } of roster.values()) {
@@ -44,15 +44,15 @@
   return next;
 }
 
-/** Drops members that have been gone for longer than `span`. */
+/** Removes members that have been gone for `retention` milliseconds. */
 export function forgetGone(roster: Roster, now: number, retention: number): Roster {
   const kept = [...roster].filter(
-    ([, { member, stateChangedAt }]) => member.state !== 'gone' || now - stateChangedAt < retention,
+    ([, { member, changedAt }]) => member.state !== 'gone' || now - changedAt < retention,
   );
   return kept.length === roster.size ? roster : new Map(kept);
 }
 
-/** Returns the members in any of the given states. */
+/** Returns the members that are in any of the given states. */
 export function listMembers(roster: Roster, states: readonly MemberState[]): readonly Member[] {
   const members: Member[] = [];
   for (const { member } of roster.values()) {
--- a/src/member/update-queue.ts
+++ b/src/member/update-queue.ts
@@ -1,21 +1,21 @@
-/** News waiting to be passed on: each item is sent a bounded number of times, newest first. */
+/** Gossip updates that wait to be sent: each is sent a limited number of times, newest first. */
 
 interface QueuedUpdate {
   readonly key: string;
   remainingSends: number;
 }
 
-/** Chooses which items the next message carries. */
+/** Chooses which updates the next message carries. */
 export class UpdateQueue {
   #updates: readonly QueuedUpdate[] = [];
 
-  /** Puts an item first, to be sent `times` times. */
+  /** Adds an update in front, to be sent `sendCount` times; replaces an earlier one of this key. */
   add(key: string, sendCount: number): void {
     const others = this.#updates.filter((rumor) => rumor.key !== key);
     this.#updates = [{ key, remainingSends: sendCount }, ...others];
   }
 
-  /** Takes up to `count` items, those sent least often first. */
+  /** Takes the keys of up to `count` updates, those with the most remaining sends first. */
   take(count: number): readonly string[] {
     const chosen = [...this.#updates]
       .sort((a, b) => b.remainingSends - a.remainingSends)
