--- a/src/spread/config-follower.ts
+++ b/src/spread/config-follower.ts
@@ -1,10 +1,10 @@
 /**
  * Keeps this daemon's configuration current.
  *
- * A few entries, found by rendezvous hashing among the live ones, watch the platform; all others
- * hear from peers. A daemon that hears nothing fresh for some seconds reads the platform itself, so
- * being cut off from one side is enough to lose freshness only when the other side is cut off too.
- * The revision in force never falls while the daemon runs.
+ * A few entries, chosen by rendezvous hashing among the live ones, watch the platform; all others
+ * fetch changes from peers. A daemon whose proof of the newest revision is some seconds old reads
+ * the platform itself, so its configuration becomes stale only when it can reach neither the
+ * platform nor its peers. The revision in force never decreases while the daemon runs.
  */
 import {
   type Clock,
@@ -30,24 +30,24 @@
 import { formatMistake } from '../settings/index.js';
 import { type Proof, mergeProofs } from './proof.js';
 
-/** Times of the follower, in milliseconds. */
+/** Times of a {@link ConfigFollower}, in milliseconds. */
 export interface FollowerTimes {
-  /** Between two reads of the manifest by an entry that watches: a watch can skip a change. */
+  /** Time between two reads of the manifest by a reader, because a watch can miss a change. */
   readonly rereadInterval: number;
-  /** Age of the proof at which any daemon reads the manifest itself. */
+  /** Age of the proof from which any daemon reads the manifest itself. */
   readonly maxProofAge: number;
-  /** Longest wait for a peer's reply. */
+  /** Timeout of a fetch from a peer. */
   readonly timeout: number;
 }
 
-/** The times used unless a test says otherwise. */
+/** Default times of a {@link ConfigFollower}. */
 export const DEFAULT_FOLLOWER_TIMES: FollowerTimes = {
   rereadInterval: 3000,
   maxProofAge: 8000,
   timeout: 3000,
 };
 
-/** What the follower is made from. */
+/** Dependencies and callbacks of a {@link ConfigFollower}. */
 export interface ConfigFollowerOptions {
   readonly store: ConfigStore;
   readonly platform: Platform;
@@ -56,17 +56,18 @@
   readonly random: Random;
   readonly log: Log;
   readonly times: FollowerTimes;
-  /** The live entries and the identifier of this one. */
+  /** Lists the live entries, from which the readers are chosen. */
   readonly listCandidates: () => readonly HomeCandidate[];
+  /** Returns the identifier of this entry. */
   readonly selfId: () => string;
-  /** Called after a newer configuration came into force. */
+  /** Called after a newer configuration has come into force. */
   readonly onAdopted: (configuration: Configuration) => void;
 }
 
-/** How many entries watch the platform. */
+/** Number of entries that watch the platform. */
 export const CONFIG_READERS = 2;
 
-/** A proof is usually no older than this many rereads when it has travelled to everybody. */
+/** Usual maximum age of a proof when it has reached all daemons, in reread intervals. */
 const TYPICAL_PROOF_AGE_REREADS = 1.7;
 const READ_STAGGER_MS = 400;
 const SUBSTITUTE_DURATION_MS = 30_000;
@@ -74,7 +75,7 @@
 const MAX_BACK_OFF_MS = 4000;
 const IDLE_PERIOD_MS = 500;
 
-/** Follows the configuration for one daemon. */
+/** Keeps the configuration of one daemon current, from the platform or from peers. */
 export class ConfigFollower {
   #configuration = EMPTY_CONFIGURATION;
 
@@ -90,32 +91,32 @@
 
   #fault: string | undefined;
 
-  /** Until when this entry watches in the place of others. */
+  /** Until when this entry watches in place of the chosen readers, on the kernel's clock. */
   #substituteUntil = -Infinity;
 
   constructor(private readonly options: ConfigFollowerOptions) {}
 
-  /** The configuration in force here. */
+  /** The configuration in force in this daemon. */
   get configuration(): Configuration {
     return this.#configuration;
   }
 
-  /** Whether any configuration was ever learnt; without one nothing is served. */
+  /** Whether any configuration has been adopted; without one no call is served. */
   get hasConfiguration(): boolean {
     return this.#manifest !== undefined;
   }
 
-  /** Why a newer revision is not in force here, if one was refused. */
+  /** Why a newer revision was refused, if one was. */
   get fault(): string | undefined {
     return this.#fault;
   }
 
-  /** Milliseconds since the revision in force was last shown to be the newest. */
+  /** Milliseconds since the revision in force was last known to be the newest. */
   get proofAge(): number {
     return this.options.clock.now() - this.#proof.at;
   }
 
-  /** Follows until the signal aborts. */
+  /** Follows the configuration until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     await this.readPlatform();
     let failures = this.hasConfiguration ? 0 : 1;
@@ -134,7 +135,7 @@
       }
       const isAnswered = await this.readPlatform();
       failures = isAnswered ? 0 : failures + 1;
-      // Those who should watch seem not to reach the platform, and this entry does: it stands in.
+      // The chosen readers seem unable to reach the platform; this entry watches in their place.
       if (isAnswered) this.#substituteUntil = this.options.clock.now() + SUBSTITUTE_DURATION_MS;
     }
   }
@@ -146,7 +147,7 @@
     if (head.kind === 'unavailable') return false;
     this.#storeVersion = head.item?.version ?? 0;
     if (head.manifest.revision < this.#configuration.revision) {
-      // The platform's service itself went back; what was in force stays in force.
+      // The platform returned an older revision; the one in force stays in force.
       const { revision } = head.manifest;
       this.options.log.error('config.platform-behind', {
         revision,
@@ -161,7 +162,7 @@
     return true;
   }
 
-  /** Takes a manifest that this daemon read or wrote in the platform at time `at` or later. */
+  /** Adopts a manifest that this daemon read from or wrote to the platform at `at` or later. */
   async adoptManifest(manifest: Manifest, at: number): Promise<void> {
     const documents = await this.options.store.readDocuments(manifest);
     if (documents.kind === 'unavailable') return;
@@ -169,7 +170,7 @@
     this.#recordProof({ revision: manifest.revision, at });
   }
 
-  /** Takes what a peer says it knows; fetches from it when it knows more. */
+  /** Processes the revision that a peer reports; fetches from the peer when it is newer. */
   receiveKnowledge(from: Member, revision: number, proofAge: number): void {
     const ownRevision = this.#configuration.revision;
     if (revision === ownRevision) {
@@ -185,7 +186,7 @@
       });
   }
 
-  /** Answers a peer that asks for the configuration. */
+  /** Answers a peer's fetch: the manifest, and the texts whose hashes are not in `known`. */
   answerFetch(known: readonly string[]): ConfigReply {
     if (this.#manifest === undefined) return { manifest: '', texts: [], proofAge: Infinity };
     const knownHashes = new Set(known);
@@ -195,7 +196,7 @@
     return { manifest: formatManifest(this.#manifest), texts, proofAge: this.proofAge };
   }
 
-  /** This entry's place in the order of those who watch; the first ones do, the next ones step in. */
+  /** Returns this entry's rank; the first {@link CONFIG_READERS} watch, the next replace them. */
   #findRank(): number {
     const ranked = rankCandidates('config-readers', this.options.listCandidates());
     const self = this.options.selfId();
@@ -207,7 +208,7 @@
     return this.#findRank() < CONFIG_READERS || this.options.clock.now() < this.#substituteUntil;
   }
 
-  /** Age of the proof at which this entry reads the platform; the next in order is the first to. */
+  /** Age of the proof from which this entry reads the platform; it grows with the rank. */
   #computeMaxProofAge(): number {
     const { rereadInterval, maxProofAge } = this.options.times;
     const rank = this.#findRank() - CONFIG_READERS;
@@ -217,7 +218,7 @@
     );
   }
 
-  /** Waits for a change, but rereads in any case now and then. */
+  /** Waits for a change, at most for the reread interval, then reads; false when that failed. */
   async #watchOnce(signal: AbortSignal): Promise<boolean> {
     const { clock, platform, times } = this.options;
     const rereadLimit = new AbortController();
@@ -226,7 +227,7 @@
     const result = await platform.watch(HEAD_KEY, this.#storeVersion, stopSignal);
     timer.cancel();
     if (signal.aborted) return true;
-    // A watch that fails within its time is a fault; one that we ended is not.
+    // A watch that fails before the reread interval is a fault; one ended by its limit is not.
     if (result.kind === 'unavailable' && !rereadLimit.signal.aborted) {
       await this.readPlatform();
       return false;
@@ -275,7 +276,7 @@
     checked.ifRight((configuration) => {
       assertInvariant(
         configuration.revision >= previousRevision,
-        'the revision in force never falls',
+        'the revision in force must not decrease',
       );
       this.#fault = undefined;
       this.#manifest = manifest;
--- a/src/spread/home-load-table.ts
+++ b/src/spread/home-load-table.ts
@@ -1,9 +1,9 @@
 /**
- * How busy the homes of services are, as far as the entries have told each other.
+ * The load of the homes of services, as the entries report it to each other.
  *
- * Only a home that is more than half full speaks up, so in ordinary times this costs nothing. The
- * number of homes rises at once and falls only after a minute, and entries may disagree for a few
- * seconds, which costs some balance and no correctness.
+ * Only a home that is above half of its capacity reports its load, so this usually costs nothing.
+ * The number of homes rises at once and falls only after a minute. Entries may disagree on it for a
+ * few seconds, which makes the balance worse but does not affect correctness.
  */
 import { ENTRY_CALLS_PER_SECOND } from '../balance/index.js';
 import type { LoadMessage } from '../peer/index.js';
@@ -12,7 +12,7 @@
 const SCALE_DOWN_DELAY_MS = 60_000;
 const MAX_LOADS_PER_MESSAGE = 16;
 
-/** Calls a second at which a home tells the others. */
+/** Rate of a service, in calls per second, above which its home reports its load. */
 export const MIN_ANNOUNCED_CALLS_PER_SECOND = ENTRY_CALLS_PER_SECOND / 2;
 
 interface HomeLoad {
@@ -22,17 +22,17 @@
 
 interface HomeCount {
   readonly homes: number;
-  /** When as many homes were last needed. */
+  /** When this many homes were last needed, on the kernel's clock. */
   readonly neededAt: number;
 }
 
-/** The loads that an entry knows. */
+/** The loads that an entry knows, and the number of homes that follows from them. */
 export class HomeLoadTable {
   readonly #loads = new Map<string, Map<string, HomeLoad>>();
 
   readonly #homeCounts = new Map<string, HomeCount>();
 
-  /** Takes a load of some age; a fresher one of the same home replaces it. */
+  /** Adds a load unless it has expired or a newer one of the same home is known. */
   add({ service, entry, rate, age }: LoadMessage, now: number): void {
     const homes = this.#loads.get(service) ?? new Map<string, HomeLoad>();
     const measuredAt = now - age;
@@ -40,7 +40,7 @@
     this.#loads.set(service, homes.set(entry, { rate, measuredAt }));
   }
 
-  /** Lists fresh loads for a message. */
+  /** Lists unexpired loads for a message, up to its maximum, and removes expired ones. */
   list(now: number): readonly LoadMessage[] {
     const loads: LoadMessage[] = [];
     for (const [service, homes] of this.#loads) {
@@ -54,12 +54,12 @@
     return loads;
   }
 
-  /** Whether any service is held at more homes than one, so that placing must be looked at again. */
+  /** Whether any service has more than one home, so that its placement must be computed again. */
   hasMultipleHomes(): boolean {
     return [...this.#homeCounts.values()].some(({ homes }) => homes > 1);
   }
 
-  /** Returns how many homes a service needs for what was heard; 1 when nothing was. */
+  /** Returns how many homes a service needs for its reported load; 1 when none was reported. */
   countHomes(service: string, now: number): number {
     let rate = 0;
     for (const { rate: homeRate, measuredAt } of this.#loads.get(service)?.values() ?? []) {
--- a/src/spread/index.ts
+++ b/src/spread/index.ts
@@ -1,4 +1,4 @@
-/** How the configuration and the list of VMs reach every daemon. */
+/** Distribution of the configuration, the VM list and the load of homes to every entry daemon. */
 export * from './proof.js';
 export * from './config-follower.js';
 export * from './vm-list.js';
--- a/src/spread/proof.ts
+++ b/src/spread/proof.ts
@@ -1,12 +1,12 @@
-/** How long ago a revision was shown to be the newest one. */
+/** Proofs that a revision was the newest one at some time. */
 
-/** A revision with the time of its last proof, on the kernel's clock; -Infinity is never. */
+/** A revision and when it was last known to be newest, on the kernel's clock; -Infinity: never. */
 export interface Proof {
   readonly revision: number;
   readonly at: number;
 }
 
-/** Joins two proofs: a newer revision replaces an older one, and of one revision the later counts. */
+/** Returns the proof of the newer revision; of two for the same revision, the later one. */
 export function mergeProofs(a: Proof, b: Proof): Proof {
   if (a.revision !== b.revision) return a.revision > b.revision ? a : b;
   return a.at >= b.at ? a : b;
--- a/src/spread/vm-list.ts
+++ b/src/spread/vm-list.ts
@@ -1,4 +1,4 @@
-/** Lists of VMs as values, and the differences between them that travel instead of whole lists. */
+/** Immutable lists of VMs, and the changes between them that are sent in place of whole lists. */
 import { formatAddress, parseAddress } from '../kernel/index.js';
 import type { VmMessage } from '../peer/index.js';
 import type { Vm } from '../platform/index.js';
@@ -6,13 +6,13 @@
 /** VMs by address `a.b.c.d:port`. */
 export type VmList = ReadonlyMap<string, Vm>;
 
-/** What leads from one list to the next. */
+/** The change from one list to the next: VMs added or replaced, and addresses removed. */
 export interface VmListChange {
   readonly put: readonly Vm[];
   readonly removed: readonly string[];
 }
 
-/** Makes a list of VMs; of two with one address the later stands. */
+/** Creates a list of VMs; of two with the same address, the later one is kept. */
 export function createVmList(vms: readonly Vm[]): VmList {
   return new Map(vms.map((vm) => [formatAddress(vm.address), vm]));
 }
@@ -21,7 +21,7 @@
   return a.role === b.role && a.domain === b.domain && a.state === b.state;
 }
 
-/** Finds what leads from one list to another. */
+/** Computes the change from one list to another. */
 export function diffVmLists(before: VmList, after: VmList): VmListChange {
   const put: Vm[] = [];
   for (const [name, vm] of after) {
@@ -39,7 +39,7 @@
   return next;
 }
 
-/** Joins changes that follow each other; of one VM the last word stands. */
+/** Merges consecutive changes; the last change of a VM wins. */
 export function mergeVmChanges(changes: readonly VmListChange[]): VmListChange {
   const put = new Map<string, Vm>();
   const removed = new Set<string>();
@@ -56,18 +56,18 @@
   return { put: [...put.values()], removed: [...removed] };
 }
 
-/** Whether a change changes nothing. */
+/** Whether a change has no effect. */
 export function isEmptyChange({ put, removed }: VmListChange): boolean {
   return put.length === 0 && removed.length === 0;
 }
 
-/** Writes a VM as a message. */
+/** Converts a VM to its message. */
 export function writeVm(vm: Vm): VmMessage {
   const { role, domain, state, address } = vm;
   return { address: formatAddress(address), role, domain, leaving: state === 'leaving' };
 }
 
-/** Reads a VM from a message; undefined when its address cannot be read. */
+/** Converts a message to a VM; undefined when its address is not valid. */
 export function readVm(message: VmMessage): Vm | undefined {
   const address = parseAddress(message.address);
   if (address === undefined) return undefined;
--- a/src/spread/vms-follower.ts
+++ b/src/spread/vms-follower.ts
@@ -1,9 +1,10 @@
 /**
  * Keeps this daemon's copy of the platform's list of VMs.
  *
- * One entry, the first by rendezvous hashing, reads the list every second; what changed in it travels
- * from peer to peer, and the whole list only to those who lack what the change is against. When that
- * entry is silent for long, others read the list themselves.
+ * One entry, the first by rendezvous hashing, reads the list every second. Changes of the list are
+ * passed from peer to peer; the whole list goes only to a peer that lacks the list on which the
+ * changes are based. When that reader has been silent for too long, others read the list
+ * themselves.
  */
 import { type Clock, type Random, parseAddress } from '../kernel/index.js';
 import { type HomeCandidate, rankCandidates } from '../balance/index.js';
@@ -21,19 +22,21 @@
   writeVm,
 } from './vm-list.js';
 
-/** What the follower is made from. */
+/** Dependencies and callbacks of a {@link VmsFollower}. */
 export interface VmsFollowerOptions {
   readonly platform: Platform;
   readonly transport: PeerTransport;
   readonly clock: Clock;
   readonly random: Random;
+  /** Lists the live entries, from which the reader is chosen. */
   readonly listCandidates: () => readonly HomeCandidate[];
+  /** Returns the identifier of this entry. */
   readonly selfId: () => string;
-  /** Called when the list changes. */
+  /** Called when the list of VMs changes. */
   readonly onChange: (vms: readonly Vm[]) => void;
 }
 
-/** Who read a list, and how often it has changed since that entry started. */
+/** The version of a list: who read it, and how often it has changed since that entry started. */
 export interface VmsSource {
   readonly reader: string;
   readonly count: number;
@@ -49,35 +52,35 @@
 const FETCH_TIMEOUT_MS = 3000;
 const MAX_LOGGED_CHANGES = 64;
 
-/** Follows the list of VMs for one daemon. */
+/** Keeps the list of VMs of one daemon current, from the platform or from peers. */
 export class VmsFollower {
   #list: VmList = new Map();
 
   #source: VmsSource = { reader: '', count: 0 };
 
-  /** Changes of the present reader, without gaps, the last of them leading to the present list. */
+  /** Consecutive changes by the current reader; the last one produced the current list. */
   #changeLog: readonly LoggedChange[] = [];
 
   #ownChangeCount = 0;
 
-  /** When the list was last heard to be what it is. */
+  /** When the list was last confirmed to be current, on the kernel's clock. */
   #confirmedAt = -Infinity;
 
   #fetching = false;
 
   constructor(private readonly options: VmsFollowerOptions) {}
 
-  /** The list as last learnt. */
+  /** The list of VMs as last read or received. */
   get vms(): readonly Vm[] {
     return [...this.#list.values()];
   }
 
-  /** Where the list that is known here comes from. */
+  /** The version of the list that this daemon has. */
   get source(): VmsSource {
     return this.#source;
   }
 
-  /** Follows until the signal aborts. */
+  /** Follows the list until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const isSilent = this.options.clock.now() - this.#confirmedAt > MAX_SILENCE_MS;
@@ -89,7 +92,7 @@
     }
   }
 
-  /** Reads the list from the platform. */
+  /** Reads the list from the platform; does nothing when the platform does not answer. */
   async readPlatform(): Promise<void> {
     const result = await this.options.platform.vms();
     if (result.kind === 'unavailable') return;
@@ -102,7 +105,7 @@
     this.#replaceList(list, change, { reader, count: this.#ownChangeCount });
   }
 
-  /** Takes what a peer says it knows; fetches from it when its list is newer. */
+  /** Processes the list version that a peer reports; fetches from the peer when it is newer. */
   receiveKnowledge(from: Member, reader: string, count: number): void {
     if (reader === '' || reader === this.options.selfId()) return;
     const designatedReader = this.#findReader();
@@ -116,14 +119,14 @@
     this.#fetchFrom(from).catch(() => undefined);
   }
 
-  /** Answers a peer: with what changed since the list it has, or with the whole list. */
+  /** Answers a peer's fetch with the changes since the list it has, or with the whole list. */
   answerFetch(known: VmsRequest): VmsReply {
     const change = this.#findChange(known);
     const { put, removed } = change ?? { put: this.vms, removed: [] };
     return { ...this.#source, isWhole: change === undefined, vms: put.map(writeVm), removed };
   }
 
-  /** What leads from the list that a peer has to the present one; undefined when that is not known. */
+  /** Finds the change from a peer's list to the current one; undefined when it is not logged. */
   #findChange(known: VmsRequest): VmListChange | undefined {
     if (known.reader !== this.#source.reader || known.count > this.#source.count) return undefined;
     const later = this.#changeLog.filter(({ count }) => count > known.count);
@@ -147,7 +150,7 @@
   }
 
   #applyReply(known: VmsSource, { reader, count, isWhole, vms, removed }: VmsReply): void {
-    // A change is against the list that was known when it was asked for.
+    // A change is based on the list that this daemon had when it requested the change.
     if (!isWhole && known !== this.#source) return;
     if (reader === this.#source.reader && count <= this.#source.count) return;
     const put = vms.map(readVm).filter((vm) => vm !== undefined);
