--- a/src/once/claims.ts
+++ b/src/once/claims.ts
@@ -1,53 +1,55 @@
 /**
- * At most once across entries: an idempotency key is claimed in the platform's service before the
- * call is dispatched, and whoever does not hold the claim does not dispatch.
+ * At-most-once execution across entries: an idempotency key is claimed in the platform's service
+ * before the call is dispatched, and an entry without the claim does not dispatch the call.
  *
- * The claim is one compare-and-swap that expects no item, so of all entries, also ones that were
- * paused or restarted, one succeeds. No ownership or clock is needed. When the claim can be neither
- * made nor shown to exist, the call is not dispatched.
+ * A claim is one compare-and-swap that expects no item, so exactly one entry succeeds, even if
+ * others were paused or restarted. It needs neither ownership of keys nor synchronised clocks. When
+ * it is unknown whether the claim exists, the call is not dispatched.
  */
 import { createHash } from 'node:crypto';
 import { type Clock, type Random } from '../kernel/index.js';
 import type { Platform, StoredValue, WriteResult } from '../platform/index.js';
 
-/** The call that wants to run under an idempotency key. */
+/** A call that is to run under an idempotency key. */
 export interface ClaimRequest {
   readonly service: string;
   readonly key: string;
-  /** Method and path: the same key with another one is a mistake of the caller. */
+  /** Method and path; reuse of the key with others is an error of the caller. */
   readonly request: string;
   /** How long the key is remembered, in milliseconds. */
   readonly window: number;
-  /** When the call's time is over, on the kernel's clock. */
+  /** Deadline of the call, on the kernel's clock. */
   readonly deadline: number;
 }
 
-/** What asking for a claim gives. */
+/** The result of a claim. */
 export type ClaimResult =
   | { readonly kind: 'claimed'; readonly release: () => Promise<void> }
   /** Another call holds the key; it may have run. */
   | { readonly kind: 'duplicate' }
   /** The key belongs to a call with another method or path. */
   | { readonly kind: 'mismatch'; readonly request: string }
-  /** Nobody can say; this call was not dispatched. */
+  /** It is unknown whether the key is claimed; this call was not dispatched. */
   | { readonly kind: 'unproven'; readonly reason: string };
 
 interface ClaimRecord {
-  /** Drawn for each claim; a caller's own identifiers could stand on two calls. */
+  /** Random for each claim, because two calls could carry the same identifier of the caller. */
   readonly token: string;
   readonly request: string;
 }
 
 interface SharedLease {
   readonly id: string;
+  /** On the kernel's clock; claims after this need a new lease. */
   readonly shareableUntil: number;
 }
 
 const MAX_ATTEMPTS = 5;
 const RETRY_DELAY_MS = 20;
+/** For this long new claims share a lease; its term is longer than the window by as much. */
 const LEASE_SHARING_MS = 600_000;
 
-/** Key under which the claim of an idempotency key is stored. */
+/** Returns the store key of the claim on an idempotency key. */
 export function buildClaimKey(service: string, key: string): string {
   const digest = createHash('sha256').update(service).update('\0').update(key).digest('hex');
   return `once/${digest}`;
@@ -57,7 +59,7 @@
 export class Claims {
   readonly #leases = new Map<number, Promise<SharedLease | undefined>>();
 
-  /** Claims by outcome, since the start. */
+  /** Number of claims by outcome, and of released claims, since the start. */
   readonly counts = { claimed: 0, duplicate: 0, unproven: 0, released: 0 };
 
   constructor(
@@ -66,7 +68,7 @@
     private readonly random: Random,
   ) {}
 
-  /** Claims the key for one call. */
+  /** Claims the key for one call; retries until an outcome is known or the deadline passes. */
   async claim(request: ClaimRequest): Promise<ClaimResult> {
     const result = await this.#tryClaim(request);
     if (result.kind === 'claimed') this.counts.claimed += 1;
@@ -86,8 +88,8 @@
     let reason = '';
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
       if (this.clock.now() >= request.deadline) break;
-      // A write whose reply was lost is tried again as it was: it takes effect at most once, and
-      // the conflict that the second one meets shows whose call holds the key.
+      // A write whose reply was lost is repeated unchanged: it takes effect at most once, and a
+      // conflict on the second attempt shows which call holds the key.
       const result = await this.platform.swap(swap);
       const outcome = this.#interpret(swap.key, result, record);
       if (outcome !== undefined) return outcome;
@@ -125,7 +127,7 @@
     }
   }
 
-  /** Frees the key of a call that certainly did not run, so that the caller can send it again. */
+  /** Releases the key of a call that certainly did not run, so that the caller can repeat it. */
   async #release(key: string, own: ClaimRecord, version: number): Promise<void> {
     const result = await this.platform.remove({ key, expect: version });
     if (result.kind === 'written' || result.kind === 'conflict') {
@@ -156,7 +158,7 @@
     return (JSON.parse(item.value) as ClaimRecord).token === own.token;
   }
 
-  /** Returns a lease that outlives the window; many claims share one, and it is never renewed. */
+  /** Returns a lease that outlives the window; many claims share it, and it is never renewed. */
   async #findLease(window: number): Promise<SharedLease | undefined> {
     const held = await this.#leases.get(window);
     if (held !== undefined && this.clock.now() < held.shareableUntil) return held;
--- a/src/once/index.ts
+++ b/src/once/index.ts
@@ -1,2 +1,2 @@
-/** At most once across entries, by claims on idempotency keys. */
+/** At-most-once execution across entries, by claims on idempotency keys. */
 export * from './claims.js';
