--- a/src/measure/grants.ts
+++ b/src/measure/grants.ts
@@ -1,18 +1,19 @@
 /**
- * The measuring budget: one number for each pool, for the whole system.
+ * The measuring budget: one limit for each pool, for the whole system.
  *
- * The right to spend a pool's budget for the next ten seconds is one item in the platform's service,
- * created only where there is none and attached to a lease that is never renewed. The platform's own
- * clock frees it, so no clock of ours, no membership and no healthy network is needed for the sum
- * over all daemons to stay within the budget; without the platform nothing is spent at all.
+ * The right to spend a pool's budget for the next ten seconds is one item in the platform's
+ * service. It is created only if absent and attached to a lease that is never renewed, so it
+ * expires by the platform's clock. To keep the total of all daemons within the budget, neither
+ * synchronised clocks nor the membership nor a working network are needed. Without the platform
+ * nothing is spent.
  */
 import { type Clock, assertInvariant } from '../kernel/index.js';
 import type { Platform } from '../platform/index.js';
 
-/** Length of a grant, in milliseconds. */
+/** Duration of a grant, in milliseconds. */
 export const GRANT_DURATION_MS = 10_000;
 
-/** A grant is not used in its last part, so that a slow probe still falls within it. */
+/** A grant is not used in its last part, so that even a slow probe ends before the grant does. */
 const GRANT_MARGIN_MS = 1500;
 
 interface Grant {
@@ -21,26 +22,26 @@
   readonly spent: number;
 }
 
-/** Key of a pool's grant. */
+/** Returns the store key of a pool's grant. */
 export function buildGrantKey(service: string, pool: string): string {
   return `measure/${service}/${pool}`;
 }
 
-/** The right of this daemon to spend the budget of one pool. */
+/** This daemon's access to the measuring budget of one pool. */
 export class MeasuringGrant {
   #grant: Grant | undefined;
 
   #isRequesting = false;
 
-  /** Target milliseconds spent since the start. */
+  /** Time of targets spent since the start, in milliseconds. */
   spent = 0;
 
-  /** Target milliseconds granted since the start. */
+  /** Time of targets granted since the start, in milliseconds. */
   granted = 0;
 
   /**
-   * @param key item that stands for the right, from {@link buildGrantKey}
-   * @param budget target milliseconds a second, for the whole system
+   * @param key store key of the grant, from {@link buildGrantKey}
+   * @param budget time of targets for the whole system, in milliseconds per second
    */
   constructor(
     private readonly key: string,
@@ -49,7 +50,10 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Spends `cost` target milliseconds if the grant covers them; asks for a grant when it has none. */
+  /**
+   * Spends `cost` milliseconds of target time if the grant covers them; requests a new grant when
+   * there is no current one. False when nothing was spent.
+   */
   async spend(cost: number): Promise<boolean> {
     if (this.#spendFromGrant(cost)) return true;
     const { clock } = this;
@@ -68,12 +72,12 @@
     if (grant.spent + cost > grant.amount) return false;
     this.#grant = { ...grant, spent: grant.spent + cost };
     this.spent += cost;
-    assertInvariant(this.spent <= this.granted, 'no more is spent on measuring than was granted');
+    assertInvariant(this.spent <= this.granted, 'measuring must not spend more than was granted');
     return true;
   }
 
   async #requestGrant(): Promise<Grant | undefined> {
-    // The grant ends no later than its lease: time is counted from before the lease was asked for.
+    // The time is taken before the request, so that the grant ends no later than its lease.
     const requestedAt = this.clock.now();
     const lease = await this.platform.grantLease(GRANT_DURATION_MS);
     if (lease.kind !== 'held') return undefined;
--- a/src/measure/index.ts
+++ b/src/measure/index.ts
@@ -1,2 +1,2 @@
-/** Measuring targets within one budget for the whole system. */
+/** Grants that keep the measuring of targets within one budget for the whole system. */
 export * from './grants.js';
