--- a/src/policy/index.ts
+++ b/src/policy/index.ts
@@ -1,3 +1,3 @@
-/** Policies: compiling a program, and applying a service's programs to a call. */
+/** Policies: compiles programs and applies a service's policies to a call. */
 export * from './policy.js';
 export * from './outcome.js';
--- a/src/policy/outcome.ts
+++ b/src/policy/outcome.ts
@@ -1,33 +1,33 @@
-/** The combined effect of a service's policies on one call. */
+/** Applies a service's policies to one call and combines their decisions. */
 import type { Policy, PolicyView } from './policy.js';
 
-/** A limit that a policy puts on its calls: at most `share` of the slots. */
+/** A limit that a policy sets: such calls use at most `share` of the slots, from 0 to 1. */
 export interface Hold {
   readonly policy: string;
   readonly share: number;
 }
 
-/** What was decided by which policy, for explanations. */
+/** The decision or failure of one policy, as text for explanations. */
 export interface PolicyStep {
   readonly policy: string;
   readonly outcome: string;
 }
 
-/** The effect of all policies on one call. */
+/** The combined effect of all policies on one call. */
 export interface PolicyOutcome {
-  /** Why the call is refused; undefined lets it run. */
+  /** Why the call is refused; undefined when it may run. */
   readonly refusal: string | undefined;
-  /** The class of work; undefined keeps the one asked for. */
+  /** The class of work; undefined keeps the requested one. */
   readonly class: string | undefined;
-  /** The pool to use; undefined is the main pool. */
+  /** The pool to use; undefined means the main pool. */
   readonly pool: string | undefined;
   readonly hold: Hold | undefined;
-  /** Policies that failed at run time. A failed policy passes the call. */
+  /** Names of policies that failed at run time; a failed policy has no effect on the call. */
   readonly failures: readonly string[];
   readonly steps: readonly PolicyStep[];
 }
 
-/** A ruling under which a call runs as it is. */
+/** The outcome without any effect on the call. */
 export const PASS_OUTCOME: PolicyOutcome = {
   refusal: undefined,
   class: undefined,
@@ -67,7 +67,7 @@
   }
 }
 
-/** Applies policies in order. A refusal ends it; of other decisions the last of a kind stands. */
+/** Applies policies in order up to the first refusal; of other kinds the last decision applies. */
 export function applyPolicies(policies: readonly Policy[], view: PolicyView): PolicyOutcome {
   let outcome = PASS_OUTCOME;
   for (const policy of policies) {
--- a/src/policy/policy.ts
+++ b/src/policy/policy.ts
@@ -1,13 +1,14 @@
 /**
- * Policies: short programs that say how work is spread, held back or refused.
+ * Policies: short programs of operators that route, limit, classify or refuse calls.
  *
- * A policy is one CEL expression whose value is a decision. It is parsed and type-checked once, when
- * the configuration is checked; evaluation has no side effects and no loops, and its size is bounded.
+ * A policy is one CEL expression whose value is a decision. It is parsed and type-checked once,
+ * when the configuration is checked. Its size is limited, and it has neither side effects nor
+ * loops.
  */
 import { Environment } from '@marcbachmann/cel-js';
 import { Either, Left, Right } from 'purify-ts';
 
-/** What a policy decides about one call. */
+/** The decision of a policy about one call. */
 export type Decision =
   | { readonly kind: 'pass' }
   | { readonly kind: 'refuse'; readonly reason: string }
@@ -15,7 +16,7 @@
   | { readonly kind: 'hold'; readonly share: number }
   | { readonly kind: 'spread'; readonly pool: string };
 
-/** What a policy can see of a call. */
+/** The properties of a call that a policy can read. */
 export interface CallView {
   readonly method: string;
   readonly path: string;
@@ -28,7 +29,7 @@
   readonly headers: Readonly<Record<string, string>>;
 }
 
-/** What a policy can see of the service's main pool, in the entry where the call waits. */
+/** The state of the service's main pool that a policy can read, in the entry that has the call. */
 export interface PoolView {
   readonly busy: number;
   readonly waiting: number;
@@ -36,7 +37,7 @@
   readonly ready: number;
 }
 
-/** All that a policy can see. */
+/** The variables of a policy. */
 export interface PolicyView {
   readonly call: CallView;
   readonly pool: PoolView;
@@ -46,11 +47,11 @@
 export interface Policy {
   readonly name: string;
   readonly program: string;
-  /** Evaluates the program; Left holds the message of a failure at run time. */
+  /** Evaluates the program; Left is the message of a run-time error. */
   readonly evaluate: (view: PolicyView) => Either<string, Decision>;
 }
 
-/** Why a program was not accepted, with its place in the program, from 1. */
+/** Why a program was not accepted; line and column in the program start at 1. */
 export interface PolicyMistake {
   readonly line: number;
   readonly column: number;
@@ -58,14 +59,14 @@
   readonly expected: string;
 }
 
-/** A variable as the reference shows it. */
+/** The reference entry of a variable or decision. */
 export interface PolicyDocEntry {
   readonly name: string;
   readonly type: string;
   readonly doc: string;
 }
 
-/** The variables of a program, with their units. */
+/** The variables of a program, with their types and units. */
 export const POLICY_VARIABLES: readonly PolicyDocEntry[] = [
   { name: 'call.method', type: 'string', doc: 'HTTP method, such as GET' },
   { name: 'call.path', type: 'string', doc: 'Path of the call, without its query' },
@@ -150,7 +151,7 @@
   return { line, column, what, expected: 'a CEL expression that returns a Decision' };
 }
 
-/** Parses and type-checks a program. */
+/** Parses and type-checks a program; Left says where and why it is not accepted. */
 export function compilePolicy(name: string, program: string): Either<PolicyMistake, Policy> {
   const checked = environment.check(program);
   if (!checked.valid) return Left(createMistake(program, checked.error));
