--- a/src/peer/codec.ts
+++ b/src/peer/codec.ts
@@ -1,4 +1,4 @@
-/** The messages between entries as the generated code of `proto/peer.proto` writes them. */
+/** Codecs between the messages of this folder and the generated types of `proto/peer.proto`. */
 import type { Reader, Writer } from 'protobufjs';
 import { orchidbeam as wire } from './generated/peer.js';
 import {
@@ -11,7 +11,7 @@
   type VmsRequest,
 } from './messages.js';
 
-/** Writes and reads one kind of message. */
+/** Encodes and decodes one type of message. */
 export interface Codec<T> {
   readonly write: (message: T) => Buffer;
   readonly read: (bytes: Buffer) => T;
@@ -22,14 +22,14 @@
   decode(reader: Reader | Uint8Array, length?: number): object;
 }
 
-/** A method with its two messages. */
+/** An RPC method with the codecs of its request and reply. */
 export interface PeerMethod<Q, A> {
   readonly path: string;
   readonly request: Codec<Q>;
   readonly reply: Codec<A>;
 }
 
-/** Makes a codec from a generated type and the two steps between its shape and ours. */
+/** Creates a codec from a generated type and the conversions to and from it. */
 function createCodec<T, W extends object>(
   type: WireType,
   toWire: (message: T) => object,
@@ -89,6 +89,7 @@
   };
 }
 
+/** Stands for an infinite age in messages, whose ages are 32-bit integers. */
 const NEVER_ON_WIRE = 0xffffffff;
 
 function encodeAge(age: number): number {
@@ -99,7 +100,7 @@
   return age === NEVER_ON_WIRE ? Infinity : age;
 }
 
-/** Tells each other what changed. */
+/** Exchanges membership updates, notices, loads and knowledge. */
 export const exchangeMethod: PeerMethod<ExchangeRequest, ExchangeMessage> = {
   path: '/orchidbeam.Peer/Exchange',
   request: createCodec<ExchangeRequest, wire.IExchangeRequest>(
@@ -114,7 +115,7 @@
   ),
 };
 
-/** Asks a peer to reach another one. */
+/** Asks a peer to probe another one. */
 export const probeMethod: PeerMethod<string, boolean> = {
   path: '/orchidbeam.Peer/Probe',
   request: createCodec<string, wire.IProbeRequest>(
@@ -129,7 +130,7 @@
   ),
 };
 
-/** Fetches the configuration. */
+/** Fetches the manifest and the texts whose hashes are not in the request. */
 export const fetchConfigMethod: PeerMethod<readonly string[], ConfigReply> = {
   path: '/orchidbeam.Peer/FetchConfig',
   request: createCodec<readonly string[], wire.IConfigRequest>(
@@ -151,7 +152,7 @@
   ),
 };
 
-/** Fetches the list of VMs or what changed in it. */
+/** Fetches the list of VMs or its changes since the list that the requester has. */
 export const fetchVmsMethod: PeerMethod<VmsRequest, VmsReply> = {
   path: '/orchidbeam.Peer/FetchVms',
   request: createCodec<VmsRequest, wire.IVmsRequest>(
--- a/src/peer/grpc.ts
+++ b/src/peer/grpc.ts
@@ -1,4 +1,4 @@
-/** The transport between entries over gRPC. */
+/** The gRPC transport between entries. */
 import {
   type ChannelOptions,
   Client,
@@ -73,7 +73,7 @@
   bytesIn: number;
 }
 
-/** Counts the bytes that a codec writes and reads. */
+/** Wraps a codec to count the messages and bytes that it writes and the bytes that it reads. */
 function countCodec<T>(codec: Codec<T>, counter: TrafficCounter): Codec<T> {
   return {
     write: (message) => {
@@ -89,7 +89,7 @@
   };
 }
 
-/** Answers a unary call with an async handler, for callers that know the secret. */
+/** Wraps an async handler for unary calls; rejects peers that do not send the shared secret. */
 function createUnaryHandler<Q, A>(secret: string, handle: (request: Q) => Promise<A>) {
   return (call: ServerUnaryCall<Q, A>, done: sendUnaryData<A>) => {
     const [given = ''] = call.metadata.get(SECRET_METADATA_KEY);
@@ -104,13 +104,13 @@
   };
 }
 
-/** PEM files by which entries prove themselves to each other; they are read again when they change. */
+/** PEM files with which entries authenticate to each other; they are reloaded when they change. */
 export interface PeerKeyFiles {
   readonly cert: string;
   readonly key: string;
-  /** Certificates of the authority that signs the entries' certificates. */
+  /** Certificates of the authority that signs the certificates of the entries. */
   readonly ca: string;
-  /** Milliseconds between two looks at the files. */
+  /** Time between two checks of the files for changes. */
   readonly refreshIntervalMs: number;
 }
 
@@ -132,15 +132,15 @@
   return {
     server: experimental.createCertificateProviderServerCredentials(provider, provider, true),
     client: experimental.createCertificateProviderChannelCredentials(provider, provider, {
-      // Entries are known by IP numbers; who holds a certificate of the authority is an entry.
+      // Entries are addressed by IP; any holder of a certificate of the authority is an entry.
       checkServerIdentity: () => undefined,
     }),
   };
 }
 
 /**
- * Creates the gRPC transport. Peers prove themselves with the shared secret, and with certificates
- * of one authority when `files` are given.
+ * Creates the gRPC transport. Peers authenticate with the shared secret, and with certificates of
+ * one authority, too, when `files` is given.
  */
 export function createGrpcTransport(secret: string, files?: PeerKeyFiles): PeerTransport {
   const { server: serverCredentials, client: clientCredentials } = createCredentials(files);
--- a/src/peer/index.ts
+++ b/src/peer/index.ts
@@ -1,4 +1,4 @@
-/** How entries talk to each other: messages, the gRPC transport, a transport for tests. */
+/** Communication between entries: messages, the gRPC transport and an in-memory one for tests. */
 export * from './messages.js';
 export * from './transport.js';
 export * from './grpc.js';
--- a/src/peer/messages.ts
+++ b/src/peer/messages.ts
@@ -1,14 +1,14 @@
-/** What the entries tell each other, as immutable values. The wire format is `proto/peer.proto`. */
+/** The messages between entries, as immutable values. The wire format is `proto/peer.proto`. */
 
-/** How an entry stands in the fleet, from best to worst. */
+/** States of a member, from best to worst; the index of a state is its value on the wire. */
 export const MEMBER_STATES = ['live', 'stopping', 'suspect', 'gone'] as const;
 
 /** One of {@link MEMBER_STATES}. */
 export type MemberState = (typeof MEMBER_STATES)[number];
 
-/** One entry as another one knows it. */
+/** An entry as known to another one. */
 export interface Member {
-  /** Drawn at each start, so that a restart under the same address is a new member. */
+  /** Random at each start, so that a restart under the same address is a new member. */
   readonly id: string;
   readonly name: string;
   readonly domain: string;
@@ -16,40 +16,40 @@
   readonly peers: string;
   readonly relay: string;
   readonly admin: string;
-  /** Raised by the member itself to refute a suspicion. */
+  /** Increased only by the member itself, to refute a suspicion. */
   readonly incarnation: number;
   readonly state: MemberState;
 }
 
-/** A target known to be leaving; `age` in milliseconds. */
+/** A notice that a target is leaving; `age` in milliseconds. */
 export interface Notice {
   readonly target: string;
   readonly age: number;
 }
 
-/** How busy a home of a service is. */
+/** The load of a service at one of its homes. */
 export interface LoadMessage {
   readonly service: string;
   /** Identifier of the home. */
   readonly entry: string;
-  /** Calls a second. */
+  /** Calls per second. */
   readonly rate: number;
-  /** Milliseconds since it was measured. */
+  /** Milliseconds since the rate was measured. */
   readonly age: number;
 }
 
-/** What a daemon knows of the configuration and of the list of VMs. */
+/** The versions of the configuration and of the list of VMs that a daemon has. */
 export interface Knowledge {
   readonly revision: number;
-  /** Milliseconds since anyone read this revision as the newest from the platform. */
+  /** Milliseconds since any daemon read this revision from the platform as the newest. */
   readonly proofAge: number;
-  /** Identifier of the entry that reads the list of VMs. */
+  /** Identifier of the entry that read the list of VMs. */
   readonly vmsReader: string;
-  /** Changes of the list since that entry started. */
+  /** Number of changes of the list since that entry started. */
   readonly vmsCount: number;
 }
 
-/** One half of an exchange. */
+/** The content of an exchange, which is the same in request and reply. */
 export interface ExchangeMessage {
   readonly from: Member;
   readonly members: readonly Member[];
@@ -58,7 +58,7 @@
   readonly knowledge: Knowledge;
 }
 
-/** The asking half. */
+/** The request of an exchange; `wantAll` asks for all members. */
 export interface ExchangeRequest extends ExchangeMessage {
   readonly wantAll: boolean;
 }
@@ -69,7 +69,7 @@
   readonly text: string;
 }
 
-/** The manifest as it stands in the platform's service, with the texts that the asker lacks. */
+/** The manifest in the platform's format, with the texts that the requester lacks. */
 export interface ConfigReply {
   readonly manifest: string;
   readonly texts: readonly TextMessage[];
@@ -84,19 +84,19 @@
   readonly leaving: boolean;
 }
 
-/** Which list of VMs the asker has already. */
+/** The version of the list of VMs that the requester has. */
 export interface VmsRequest {
   readonly reader: string;
   readonly count: number;
 }
 
-/** The list of VMs as its reader read it. */
+/** The list of VMs, or its changes, with the version. */
 export interface VmsReply {
   readonly reader: string;
   readonly count: number;
-  /** Whether `vms` is the whole list, or what changed since the one that the asker has. */
+  /** Whether `vms` is the whole list, not only the changes since the requester's list. */
   readonly isWhole: boolean;
   readonly vms: readonly VmMessage[];
-  /** Addresses that are on the list no more. */
+  /** Addresses that are no longer on the list. */
   readonly removed: readonly string[];
 }
--- a/src/peer/transport.ts
+++ b/src/peer/transport.ts
@@ -1,4 +1,4 @@
-/** How entries reach each other, behind an interface that tests replace. */
+/** The interface of the transport between entries, and an in-memory implementation for tests. */
 import { Either, Left, Right } from 'purify-ts';
 import { type Address, formatAddress, createServiceKey } from '../kernel/index.js';
 import type {
@@ -9,25 +9,25 @@
   VmsRequest,
 } from './messages.js';
 
-/** Why a peer did not answer; `reason` is for logs. */
+/** The failure of a call to a peer; `reason` is for logs. */
 export interface PeerFailure {
   readonly kind: 'peer-failure';
   readonly reason: string;
 }
 
-/** A peer's answer, or why there is none. */
+/** A peer's reply, or why there is none. */
 export type PeerResult<T> = Promise<Either<PeerFailure, T>>;
 
-/** What an entry offers its peers. */
+/** The methods that an entry serves to its peers. */
 export interface PeerHandlers {
   readonly exchange: (request: ExchangeRequest) => Promise<ExchangeMessage>;
-  /** Tries to reach the entry at `peers`; true when it answers. */
+  /** Probes the entry at the address `peers`; true when it answers. */
   readonly probe: (peers: string) => Promise<boolean>;
   readonly fetchConfig: (known: readonly string[]) => Promise<ConfigReply>;
   readonly fetchVms: (known: VmsRequest) => Promise<VmsReply>;
 }
 
-/** A peer as it is called. Each call ends within the time limit. */
+/** The client of a peer. Each call ends within its timeout. */
 export interface PeerClient {
   exchange(request: ExchangeRequest, timeoutMs: number): PeerResult<ExchangeMessage>;
   probe(peers: string, timeoutMs: number): PeerResult<boolean>;
@@ -41,40 +41,40 @@
   close(): void;
 }
 
-/** What a transport has carried since the start, without the framing of the protocol below. */
+/** Messages and bytes carried since the start, without the framing of the underlying protocol. */
 export interface PeerTraffic {
   readonly messages: number;
   readonly bytesOut: number;
   readonly bytesIn: number;
 }
 
-/** The transport service. */
+/** The transport of one entry. */
 export interface PeerTransport {
   readTraffic(): PeerTraffic;
   serve(address: Address, handlers: PeerHandlers): Promise<PeerServer>;
-  /** Returns the client of a peer; clients of one address are shared. */
+  /** Returns the client of a peer; calls for the same address share one. */
   connect(address: Address): PeerClient;
-  /** Forgets the client of an address. */
+  /** Closes and removes the client of an address. */
   forget(address: Address): void;
   close(): void;
 }
 
-/** The name of the transport service. */
+/** Key under which the kernel provides the transport. */
 export const peerTransportService = createServiceKey<PeerTransport>('peer-transport');
 
-/** Wraps a failure to reach a peer. */
+/** Creates the failure value for a call to a peer. */
 export function createPeerFailure(reason: string): PeerFailure {
   return { kind: 'peer-failure', reason };
 }
 
-/** Whether two addresses cannot reach each other in a memory transport. */
+/** Whether the link from one address to another is cut in the in-memory transport. */
 export type IsLinkCut = (from: string, to: string) => boolean;
 
-/** A transport inside this process, whose links a test can cut. */
+/** In-memory transports of the entries of one process; a test can cut the links between them. */
 export class MemoryTransports {
   readonly #handlers = new Map<string, PeerHandlers>();
 
-  /** Decides which links are cut. */
+  /** Called for each message; true makes it fail. */
   isLinkCut: IsLinkCut = () => false;
 
   /** Messages carried since the start. */
