--- a/test/measure.test.ts
+++ b/test/measure.test.ts
@@ -1,4 +1,4 @@
-/** The measuring budget: one sum for the whole system, whatever fails. */
+/** The measuring budget: its total for the whole system holds under all faults. */
 import { expect } from 'chai';
 import { InvariantError, ManualClock } from '../src/kernel/index.js';
 import { GRANT_DURATION_MS, MeasuringGrant, buildGrantKey } from '../src/measure/index.js';
@@ -13,7 +13,7 @@
   return new MeasuringGrant(buildGrantKey('ledger', 'main'), BUDGET, platform, clock);
 }
 
-/** Lets every daemon ask for as much as it can, for a while; returns what was spent. */
+/** Lets every daemon spend as much as it can for {@link SECONDS}; returns the total spent. */
 async function spendGreedily(
   clock: ManualClock,
   daemons: () => readonly MeasuringGrant[],
@@ -39,10 +39,10 @@
     store = new Store(clock);
   });
 
-  // One grant can lie at each end of the time that is looked at.
+  // A grant may reach beyond either end of the observed time, which adds up to one grant.
   const maxSpent = BUDGET * (SECONDS + GRANT_DURATION_MS / 1000);
 
-  describe('is never overspent', () => {
+  describe('is never exceeded', () => {
     it('by seventeen daemons', async () => {
       const daemons = Array.from({ length: 17 }, () => openGrant(store, clock));
       const spent = await spendGreedily(clock, () => daemons);
@@ -57,7 +57,7 @@
       expect(spent).to.be.within(1, maxSpent);
     });
 
-    it('while the platform comes and goes', async () => {
+    it('while the platform is down at times', async () => {
       const daemons = [openGrant(store, clock), openGrant(store, clock)];
       const spent = await spendGreedily(
         clock,
@@ -69,7 +69,7 @@
       expect(spent).to.be.within(1, maxSpent);
     });
 
-    it('while replies are lost', async () => {
+    it('while replies to writes are lost', async () => {
       const daemons = [openGrant(store, clock), openGrant(store, clock)];
       const spent = await spendGreedily(
         clock,
@@ -81,7 +81,7 @@
       expect(spent).to.be.within(0, maxSpent);
     });
 
-    it('by a daemon that was paused past its grant', async () => {
+    it('by a daemon that was paused until after its grant ended', async () => {
       const paused = openGrant(store, clock);
       expect(await paused.spend(COST)).to.equal(true);
       await clock.advance(GRANT_DURATION_MS * 2);
@@ -96,7 +96,7 @@
     expect(await openGrant(store, clock).spend(COST)).to.equal(false);
   });
 
-  it('stops the process when more was spent than granted', async () => {
+  it('throws an InvariantError when more was spent than granted', async () => {
     const daemon = openGrant(store, clock);
     await daemon.spend(COST);
     daemon.granted = 0;
--- a/test/member.test.ts
+++ b/test/member.test.ts
@@ -1,4 +1,4 @@
-/** Membership: joins, deaths, false suspicions, pauses, cuts, and its cost. */
+/** Membership: joins, crashes, false suspicions, pauses, partitions, and the cost per member. */
 import { expect } from 'chai';
 import { ManualClock, createSeededRandom, createSilentLog } from '../src/kernel/index.js';
 import {
@@ -19,7 +19,7 @@
   readonly notices: string[];
 }
 
-/** Some memberships that share a manual clock and a transport. */
+/** Memberships that share a manual clock and an in-memory transport. */
 class TestFleet {
   readonly clock = new ManualClock();
 
@@ -27,7 +27,7 @@
 
   readonly nodes: Node[] = [];
 
-  /** Nodes that are paused: their links carry nothing and their loop stands still. */
+  /** Addresses of nodes whose links are cut, as if the nodes were paused. */
   readonly paused = new Set<string>();
 
   cut: (from: string, to: string) => boolean = () => false;
@@ -77,7 +77,7 @@
     await this.clock.advance(seconds * 1000);
   }
 
-  /** Names that each node that is not paused counts as live. */
+  /** For each running node, the names that it lists as candidates. */
   listViews(): readonly string[] {
     return this.nodes
       .filter(({ peers, stop }) => !this.paused.has(peers) && !stop.signal.aborted)
@@ -112,7 +112,7 @@
 }
 
 describe('membership', () => {
-  describe('reports', () => {
+  describe('merging of reports', () => {
     const ROWS = [
       { b: { state: 'suspect' }, a: { state: 'live' }, wins: true },
       { b: { state: 'live' }, a: { state: 'suspect' }, wins: false },
@@ -122,23 +122,23 @@
       { b: { state: 'stopping' }, a: { state: 'live' }, wins: true },
     ] as const;
     for (const { b, a, wins } of ROWS) {
-      it(`${JSON.stringify(b)} over ${JSON.stringify(a)}: ${wins}`, () => {
+      it(`${JSON.stringify(b)} supersedes ${JSON.stringify(a)}: ${wins}`, () => {
         expect(supersedes(createMember(b), createMember(a))).to.equal(wins);
       });
     }
 
-    it('that tell nothing new leave the roster as it is', () => {
+    it('returns the same roster for a report that it knows already', () => {
       const roster = mergeMember(new Map(), createMember({}), 0);
       expect(mergeMember(roster, createMember({}), 5)).to.equal(roster);
     });
   });
 
-  it('joins all of seventeen', async () => {
+  it('makes seventeen members known to each other', async () => {
     const group = await createTestFleet(17);
     expect(new Set(group.listViews())).to.deep.equal(new Set([listNames(17)]));
   });
 
-  it('notices a crash within ten seconds, everywhere', async () => {
+  it('removes a crashed member everywhere within twelve seconds', async () => {
     const group = await createTestFleet(9);
     const [, , , , , , , , last] = group.nodes;
     group.paused.add(last?.peers ?? '');
@@ -146,7 +146,7 @@
     expect(new Set(group.listViews())).to.deep.equal(new Set([listNames(8)]));
   });
 
-  it('takes back a member that was paused for thirty seconds', async () => {
+  it('readmits a member that was paused for thirty seconds', async () => {
     const group = await createTestFleet(5);
     const [, paused] = group.nodes;
     group.paused.add(paused?.peers ?? '');
@@ -157,7 +157,7 @@
     expect(new Set(group.listViews())).to.deep.equal(new Set([listNames(5)]));
   });
 
-  it('does not lose a member that only one other cannot reach', async () => {
+  it('keeps a member that only one other member cannot reach', async () => {
     const group = await createTestFleet(5);
     const [first, second] = group.nodes;
     group.cut = (from, to) =>
@@ -167,7 +167,7 @@
     expect(new Set(group.listViews())).to.deep.equal(new Set([listNames(5)]));
   });
 
-  it('goes on in both halves of a cut, and heals', async () => {
+  it('works in both halves of a partition, and merges them when it heals', async () => {
     const group = await createTestFleet(6);
     const half = new Set(group.nodes.slice(0, 3).map(({ peers }) => peers));
     group.cut = (from, to) => half.has(from) !== half.has(to);
@@ -178,7 +178,7 @@
     expect(new Set(group.listViews())).to.deep.equal(new Set([listNames(6)]));
   });
 
-  it('heals after an hour apart', async () => {
+  it('merges the halves after a partition of one hour', async () => {
     const group = await createTestFleet(4);
     const half = new Set(group.nodes.slice(0, 2).map(({ peers }) => peers));
     group.cut = (from, to) => half.has(from) !== half.has(to);
@@ -188,7 +188,7 @@
     expect(new Set(group.listViews())).to.deep.equal(new Set([listNames(4)]));
   }).timeout(60_000);
 
-  it('knows a restart under the same address as a new member', async () => {
+  it('treats a restart under the same address as a new member', async () => {
     const group = await createTestFleet(3);
     const [, , old] = group.nodes;
     old?.stop.abort();
@@ -199,7 +199,7 @@
     expect(names?.sort()).to.deep.equal(['n0', 'n1', 'n2']);
   });
 
-  it('tells all at once that one is stopping', async () => {
+  it('announces to all members at once that one is stopping', async () => {
     const group = await createTestFleet(9);
     const [, stopping] = group.nodes;
     await stopping?.membership.announceStopping();
@@ -209,7 +209,7 @@
     }
   });
 
-  it('tells all within two seconds that a target is leaving', async () => {
+  it('announces to all members within two seconds that a target is leaving', async () => {
     const group = await createTestFleet(17);
     group.nodes[3]?.membership.announceTargetLeaving('10.1.1.1:80');
     await group.run(2);
@@ -217,7 +217,7 @@
     expect(told).to.have.length(16);
   });
 
-  it('costs each member the same in a fleet of eight and of thirty-two', async () => {
+  it('sends as many messages per member in a fleet of eight as in one of thirty-two', async () => {
     const measure = async (size: number) => {
       const group = await createTestFleet(size);
       const before = group.transports.messages;
--- a/test/once.test.ts
+++ b/test/once.test.ts
@@ -1,4 +1,4 @@
-/** At most once: the same idempotency key at several entries, through every fault of the platform. */
+/** At-most-once execution: one idempotency key at several entries, under faults of the platform. */
 import { expect } from 'chai';
 import { createSeededRandom, createSystemClock } from '../src/kernel/index.js';
 import { type ClaimRequest, Claims } from '../src/once/index.js';
@@ -51,13 +51,13 @@
       expect(kinds.filter((kind) => kind === 'duplicate')).to.have.length(11);
     });
 
-    it('is free again after the call was shown not to have run', async () => {
+    it('can be claimed again after a release', async () => {
       const first = await openClaims().claim(createRequest('k'));
       if (first.kind === 'claimed') await first.release();
       expect((await openClaims().claim(createRequest('k'))).kind).to.equal('claimed');
     });
 
-    it('does not free the claim of another call', async () => {
+    it('keeps the claim of another call when a release is repeated', async () => {
       const first = await openClaims().claim(createRequest('k'));
       if (first.kind !== 'claimed') throw new Error('not claimed');
       await first.release();
@@ -66,7 +66,7 @@
       expect((await openClaims().claim(createRequest('k'))).kind).to.equal('duplicate');
     });
 
-    it('is a mistake of the caller for another path', async () => {
+    it('is refused as a mismatch for another path', async () => {
       await openClaims().claim(createRequest('k', 'POST /postings'));
       expect((await openClaims().claim(createRequest('k', 'POST /deposits'))).kind).to.equal(
         'mismatch',
@@ -74,7 +74,7 @@
     });
   });
 
-  describe('a platform that fails', () => {
+  describe('when the platform fails', () => {
     const ROWS: readonly { ways: readonly SwapFault[]; kind: string; stored: boolean }[] = [
       { ways: ['lost'], kind: 'claimed', stored: true },
       { ways: ['lost-before'], kind: 'claimed', stored: true },
@@ -83,20 +83,20 @@
       { ways: Array<SwapFault>(9).fill('lost-before'), kind: 'unproven', stored: false },
     ];
     for (const { ways, kind, stored } of ROWS) {
-      it(`${[...new Set(ways)].join(', ')}: ${kind}`, async () => {
+      it(`replies ${[...new Set(ways)].join(', ')}: ${kind}`, async () => {
         expect((await openClaims(ways).claim(createRequest('k'))).kind).to.equal(kind);
         expect(store.range('once/').items.length > 0).to.equal(stored);
       });
     }
 
-    it('down: unproven, and the key stays free', async () => {
+    it('platform down: unproven, and the key stays free', async () => {
       store.setFault({ kind: 'down' });
       expect((await openClaims().claim(createRequest('k'))).kind).to.equal('unproven');
       store.setFault({ kind: 'none' });
       expect((await openClaims().claim(createRequest('k'))).kind).to.equal('claimed');
     });
 
-    it('a lost reply, then another entry: the other one sees a duplicate', async () => {
+    it('lost reply: claimed, and another entry sees a duplicate', async () => {
       expect((await openClaims(['lost']).claim(createRequest('k'))).kind).to.equal('claimed');
       expect((await openClaims().claim(createRequest('k'))).kind).to.equal('duplicate');
     });
--- a/test/peer.test.ts
+++ b/test/peer.test.ts
@@ -1,4 +1,4 @@
-/** The contract between entries, for every transport: what is sent arrives, and failures are values. */
+/** The contract of every transport between entries: messages arrive intact, failures are values. */
 import { expect } from 'chai';
 import {
   type ExchangeMessage,
@@ -43,7 +43,7 @@
 
 const TRANSPORTS: readonly { name: string; create: () => PeerTransport }[] = [
   { name: 'over gRPC', create: () => createGrpcTransport(SECRET) },
-  { name: 'in this process', create: () => memory.create('10.0.0.1:1') },
+  { name: 'in memory', create: () => memory.create('10.0.0.1:1') },
 ];
 
 const LIMIT = 2000;
@@ -85,7 +85,7 @@
       { reader: '', count: 0 },
       { reader: 'a1', count: 4 },
     ]) {
-      it(`carries the list of VMs to one who knows ${JSON.stringify(known)}`, async () => {
+      it(`carries the list of VMs to a peer that knows ${JSON.stringify(known)}`, async () => {
         const reply = await transport.connect(server.address).fetchVms(known, LIMIT);
         const expected = {
           ...{ reader: known.reader, count: known.count + 1, isWhole: false, vms: [VM] },
@@ -95,7 +95,7 @@
       });
     }
 
-    it('tells that nobody is there', async () => {
+    it('returns a failure when no peer listens at the address', async () => {
       const nobody = transport.connect({ host: '127.0.0.1', port: 1 });
       expect((await nobody.probe('x', 500)).isLeft()).to.equal(true);
     });
--- a/test/spread.test.ts
+++ b/test/spread.test.ts
@@ -1,4 +1,4 @@
-/** The configuration everywhere within seconds and never back, through every kind of cut. */
+/** The configuration reaches all daemons within seconds and never goes back, with any link cut. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { pause } from '../src/demo/index.js';
@@ -18,7 +18,7 @@
 const TARGET = { host: '127.0.0.1', port: 9 };
 const DOWN = { kind: 'unavailable', reason: 'cut' } as const;
 
-/** A platform that can be cut off for one daemon alone. */
+/** The link of one daemon to the platform, which a test can cut. */
 class PlatformLink {
   cut = false;
 
@@ -39,7 +39,7 @@
   return entries.map(({ follower }) => follower.configuration.revision);
 }
 
-describe('spreading the configuration', () => {
+describe('distribution of the configuration', () => {
   let fleet: Fleet;
 
   beforeEach(() => {
@@ -61,7 +61,7 @@
     await waitAll(entries, 2);
   });
 
-  it('reaches a daemon that is cut off from the platform', async () => {
+  it('reaches a daemon that cannot reach the platform', async () => {
     const link = new PlatformLink();
     const entries = [
       await fleet.start(),
@@ -73,7 +73,7 @@
     await waitAll(entries, 2);
   });
 
-  it('reaches a daemon that is cut off from its peers', async () => {
+  it('reaches a daemon that cannot reach its peers', async () => {
     const entries = [await fleet.start(), await fleet.start(), await fleet.start()];
     const alone = `127.0.1.3:1`;
     fleet.transports.isLinkCut = (from, to) => from === alone || to === alone;
@@ -81,23 +81,23 @@
     await waitAll(entries, 2);
   });
 
-  it('survives a watch that skips changes', async () => {
+  it('reaches every daemon when a watch misses changes', async () => {
     const entries = [await fleet.start(), await fleet.start()];
     fleet.store.setFault({ kind: 'skip-watches' });
     change('/b');
     await waitAll(entries, 2);
   });
 
-  it('comes from peers to an empty daemon that starts in an outage', async () => {
+  it('reaches a daemon from its peers when it starts without the platform', async () => {
     await fleet.start();
     const link = new PlatformLink();
     link.cut = true;
     const fresh = await fleet.start('hu/b', link.wrap);
-    // The list of VMs cannot be read either, so another daemon has to find the new one.
-    await waitUntil(() => fresh.follower.configuration.revision === 1, 'taken from a peer');
+    // The new daemon cannot read the list of VMs, so another daemon has to discover it.
+    await waitUntil(() => fresh.follower.configuration.revision === 1, 'fetched from peer');
   }).timeout(20_000);
 
-  it('does not go back when a peer or the platform offers an older one', async () => {
+  it('does not go back when the platform returns an older revision', async () => {
     const [first] = [await fleet.start(), await fleet.start()];
     const older = fleet.store.read('config/head');
     change('/b');
@@ -109,13 +109,13 @@
     expect(first?.follower.configuration.revision).to.equal(2);
   });
 
-  it('serves nothing while no configuration is known, and says so', async () => {
+  it('reports that no configuration is known while the platform is down', async () => {
     fleet.store.setFault({ kind: 'down' });
     const entry = await fleet.start();
     expect(entry.follower.hasConfiguration).to.equal(false);
   });
 
-  it('keeps the configuration in force through an outage, and shows its age', async () => {
+  it('keeps the configuration in force during an outage, with a growing proof age', async () => {
     const entry = await fleet.start();
     fleet.store.setFault({ kind: 'down' });
     const before = entry.follower.proofAge;
@@ -126,7 +126,7 @@
 });
 
 describe('several daemons in one process', () => {
-  it('run under a replaced clock, network and platform', async () => {
+  it('run with a simulated clock, network and platform', async () => {
     const clock = new ManualClock(1_000_000);
     const fleet = new Fleet({ clock, network: createMemoryNetwork() });
     putDocuments(fleet.store, { 'service/a': writeService([TARGET]) });
@@ -149,8 +149,8 @@
   });
 });
 
-describe('when those who watch the platform are cut off from it', () => {
-  it('others stand in: a change is late once, and the next one is not', async () => {
+describe('when the readers cannot reach the platform', () => {
+  it('other daemons replace them, so that a later change arrives within 2.5 seconds', async () => {
     const clock = new ManualClock(1_000_000);
     const fleet = new Fleet({ clock, network: createMemoryNetwork() });
     putDocuments(fleet.store, { 'service/a': writeService([TARGET]) });
@@ -187,7 +187,7 @@
       createVmList(items.map(([port, live]) => createVm(port, live ? 'live' : 'leaving'))),
     );
 
-  it('is the same by its changes as whole', () => {
+  it('is the same when built from merged changes as when sent whole', () => {
     fc.assert(
       fc.property(lists, lists, lists, (a, b, c) => {
         const changes = [diffVmLists(a, b), diffVmLists(b, c)];
@@ -198,7 +198,7 @@
     );
   });
 
-  it('reaches every daemon, whole at first and by its changes then', async () => {
+  it("reaches a service's home, whole at first and then as changes", async () => {
     const fleet = new Fleet();
     for (let port = 1; port <= 50; port += 1) fleet.store.putVm(createVm(port));
     const role = '[service]\nhosts = test.example\n[pool]\nrole = ledger\nslots = 2\n';
