--- a/src/measure/grants.ts
+++ b/src/measure/grants.ts
@@ -1,46 +1,47 @@
 /**
- * The measuring budget: one number for each pool, for the whole system.
+ * The measuring budget: one limit for each pool, for the whole system.
  *
- * The right to spend a pool's budget for the next ten seconds is one item in the platform's service,
- * created only where there is none and attached to a lease that is never renewed. The platform's own
- * clock frees it, so no clock of ours, no membership and no healthy network is needed for the sum
- * over all daemons to stay within the budget; without the platform nothing is spent at all.
+ * The right to spend a pool's budget for the next ten seconds is one item in the platform's
+ * service. It is created only if absent and attached to a lease that is never renewed, so it
+ * expires by the platform's clock. To keep the total of all daemons within the budget, neither
+ * synchronised clocks nor the membership nor a working network are needed. Without the platform
+ * nothing is spent.
  */
 import { type Clock, assertInvariant } from '../kernel/index.js';
 import type { Platform } from '../platform/index.js';
 
-/** Length of a grant, in milliseconds. */
-export const GRANT_SPAN = 10_000;
+/** Duration of a grant, in milliseconds. */
+export const GRANT_DURATION_MS = 10_000;
 
-/** A grant is not used in its last part, so that a slow probe still falls within it. */
-const MARGIN = 1500;
+/** A grant is not used in its last part, so that even a slow probe ends before the grant does. */
+const GRANT_MARGIN_MS = 1500;
 
 interface Grant {
-  readonly until: number;
+  readonly usableUntil: number;
   readonly amount: number;
   readonly spent: number;
 }
 
-/** Key of a pool's grant. */
+/** Returns the store key of a pool's grant. */
 export function buildGrantKey(service: string, pool: string): string {
   return `measure/${service}/${pool}`;
 }
 
-/** The right of this daemon to spend the budget of one pool. */
+/** This daemon's access to the measuring budget of one pool. */
 export class MeasuringGrant {
   #grant: Grant | undefined;
 
-  #asking = false;
+  #isRequesting = false;
 
-  /** Target milliseconds spent since the start. */
+  /** Time of targets spent since the start, in milliseconds. */
   spent = 0;
 
-  /** Target milliseconds granted since the start. */
+  /** Time of targets granted since the start, in milliseconds. */
   granted = 0;
 
   /**
-   * @param key item that stands for the right, from {@link buildGrantKey}
-   * @param budget target milliseconds a second, for the whole system
+   * @param key store key of the grant, from {@link buildGrantKey}
+   * @param budget time of targets for the whole system, in milliseconds per second
    */
   constructor(
     private readonly key: string,
@@ -49,39 +50,43 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Spends `cost` target milliseconds if the grant covers them; asks for a grant when it has none. */
+  /**
+   * Spends `cost` milliseconds of target time if the grant covers them; requests a new grant when
+   * there is no current one. False when nothing was spent.
+   */
   async spend(cost: number): Promise<boolean> {
-    if (this.#take(cost)) return true;
+    if (this.#spendFromGrant(cost)) return true;
     const { clock } = this;
-    const expired = this.#grant === undefined || clock.now() >= this.#grant.until;
-    if (!expired || this.#asking || this.budget * (GRANT_SPAN / 1000) < cost) return false;
-    this.#asking = true;
-    this.#grant = await this.#ask();
-    this.#asking = false;
-    return this.#take(cost);
+    const expired = this.#grant === undefined || clock.now() >= this.#grant.usableUntil;
+    if (!expired || this.#isRequesting || this.budget * (GRANT_DURATION_MS / 1000) < cost)
+      return false;
+    this.#isRequesting = true;
+    this.#grant = await this.#requestGrant();
+    this.#isRequesting = false;
+    return this.#spendFromGrant(cost);
   }
 
-  #take(cost: number): boolean {
+  #spendFromGrant(cost: number): boolean {
     const grant = this.#grant;
-    if (grant === undefined || this.clock.now() >= grant.until) return false;
+    if (grant === undefined || this.clock.now() >= grant.usableUntil) return false;
     if (grant.spent + cost > grant.amount) return false;
     this.#grant = { ...grant, spent: grant.spent + cost };
     this.spent += cost;
-    assertInvariant(this.spent <= this.granted, 'no more is spent on measuring than was granted');
+    assertInvariant(this.spent <= this.granted, 'measuring must not spend more than was granted');
     return true;
   }
 
-  async #ask(): Promise<Grant | undefined> {
-    // The grant ends no later than its lease: time is counted from before the lease was asked for.
-    const asked = this.clock.now();
-    const lease = await this.platform.grantLease(GRANT_SPAN);
+  async #requestGrant(): Promise<Grant | undefined> {
+    // The time is taken before the request, so that the grant ends no later than its lease.
+    const requestedAt = this.clock.now();
+    const lease = await this.platform.grantLease(GRANT_DURATION_MS);
     if (lease.kind !== 'held') return undefined;
     const result = await this.platform.swap({
       ...{ key: this.key, value: String(this.budget), expect: 0, lease: lease.lease },
     });
     if (result.kind !== 'written') return undefined;
-    const amount = (this.budget * GRANT_SPAN) / 1000;
+    const amount = (this.budget * GRANT_DURATION_MS) / 1000;
     this.granted += amount;
-    return { until: asked + GRANT_SPAN - MARGIN, amount, spent: 0 };
+    return { usableUntil: requestedAt + GRANT_DURATION_MS - GRANT_MARGIN_MS, amount, spent: 0 };
   }
 }
--- a/src/member/membership.ts
+++ b/src/member/membership.ts
@@ -1,10 +1,11 @@
 /**
- * Membership among the entries, in the manner of SWIM.
+ * Membership of the entry daemons, a gossip protocol modelled on SWIM.
  *
- * Every period each entry exchanges a bounded message with one other, so the cost per daemon does
- * not depend on the size of the fleet. A peer that does not answer is tried through two others before
- * it is suspected, and a suspected one has time to refute. The platform takes no part, so its outage
- * is nobody's death.
+ * In each protocol period an entry exchanges one message of bounded size with one peer, so the
+ * cost per daemon does not depend on the size of the fleet. A peer that does not answer is probed
+ * through two others before it is suspected, and a suspected member has time to refute the
+ * suspicion. The protocol does not use the platform, so an outage of the platform removes no
+ * member.
  */
 import {
   type Clock,
@@ -25,110 +26,116 @@
   PeerTransport,
 } from '../peer/index.js';
 import { type Roster, forgetGone, listMembers, mergeMember, replaceAtAddress } from './roster.js';
-import { NoticeBoard } from './notices.js';
-import { RumorQueue } from './rumors.js';
+import { NoticeCache } from './notices.js';
+import { UpdateQueue } from './update-queue.js';
 
-/** Where this entry is, as others are told. */
-export type Self = Omit<Member, 'id' | 'incarnation' | 'state'>;
+/** Name, failure domain and addresses of this entry, as it announces them to its peers. */
+export type LocalMember = Omit<Member, 'id' | 'incarnation' | 'state'>;
 
-/** Times of the protocol, in milliseconds. */
+/** Times of the membership protocol, in milliseconds. */
 export interface MembershipTimes {
-  /** Between two exchanges that an entry starts. */
+  /** Time between two exchanges that an entry starts. */
   readonly period: number;
-  /** Longest wait for a peer. */
+  /** Timeout of an exchange with a peer. */
   readonly timeout: number;
-  /** From suspicion to gone, unless refuted. */
-  readonly suspicion: number;
+  /** Time from suspected to gone, unless the member refutes the suspicion. */
+  readonly suspicionTimeout: number;
 }
 
-/** The times used unless a test says otherwise. */
-export const DEFAULT_TIMES: MembershipTimes = { period: 1000, timeout: 600, suspicion: 4000 };
+/** Default times of the membership protocol. */
+export const DEFAULT_MEMBERSHIP_TIMES: MembershipTimes = {
+  period: 1000,
+  timeout: 600,
+  suspicionTimeout: 4000,
+};
 
-/** What the membership is made from. */
+/** Dependencies and callbacks of a {@link Membership}. */
 export interface MembershipOptions {
-  readonly self: Self;
+  readonly self: LocalMember;
   readonly transport: PeerTransport;
   readonly clock: Clock;
   readonly random: Random;
   readonly log: Log;
   readonly times: MembershipTimes;
-  /** What this daemon tells about the configuration and the VM list. */
+  /** Returns the versions of the configuration and the VM list that this daemon has. */
   readonly readKnowledge: () => Knowledge;
-  /** Called with what a peer knows. */
+  /** Called with the versions that a peer reports. */
   readonly onKnowledge: (from: Member, knowledge: Knowledge) => void;
-  /** How busy this entry and others are, for messages. */
+  /** Lists the known loads of this entry and others for an outgoing message. */
   readonly listLoads: () => readonly LoadMessage[];
-  /** Called with how busy others are. */
+  /** Called with the loads in a received message. */
   readonly onLoads: (loads: readonly LoadMessage[]) => void;
-  /** Called when the members change. */
+  /** Called when the roster or this entry's own state changes. */
   readonly onChange: () => void;
-  /** Called when a peer says that a target is leaving. */
-  readonly onNotice: (target: string) => void;
-  /** Peer addresses to try besides the known members, such as those of the platform's list. */
+  /** Called when a peer first reports that a target is leaving. */
+  readonly onTargetLeaving: (target: string) => void;
+  /** Lists peer addresses to try besides known members, such as those in the platform's list. */
   readonly listSeeds: () => readonly string[];
 }
 
-/** What a member answered when it was asked. */
+/** A member and its reply to a poll; `knowledge` is undefined when it did not answer. */
 export interface PolledMember {
   readonly member: Member;
   readonly knowledge: Knowledge | undefined;
 }
 
-const MAX_MEMBERS = 8;
-const FORGET_AFTER = 600_000;
-const INDIRECT_PROBES = 2;
+const MAX_MEMBERS_PER_MESSAGE = 8;
+const GONE_RETENTION_MS = 600_000;
+const INDIRECT_PROBE_COUNT = 2;
 const PUSH_FANOUT = 3;
-const PAUSE_PERIODS = 4;
-const SEED_PERIODS = 5;
-const FULL_SYNC_PERIODS = 30;
+/** A gap between two periods that is longer than this counts as a pause of this process. */
+const PAUSE_THRESHOLD_PERIODS = 4;
+const SEED_INTERVAL_PERIODS = 5;
+const MIN_FULL_SYNC_PERIODS = 30;
 
-/** The membership of one entry. */
+/** The membership protocol of one entry. */
 export class Membership {
   #self: Member;
 
   #roster: Roster = new Map();
 
-  readonly #rumors = new RumorQueue();
+  readonly #updates = new UpdateQueue();
 
-  readonly #notices = new NoticeBoard();
+  readonly #notices = new NoticeCache();
 
-  #turn: readonly string[] = [];
+  /** Identifiers of members still to be probed in this round, in random order. */
+  #probeOrder: readonly string[] = [];
 
-  #lastTick = 0;
+  #lastTickAt = 0;
 
-  #ticks = 0;
+  #tickCount = 0;
 
-  #paused = false;
+  #wasPaused = false;
 
-  /** Messages sent since the start, and their outcome. */
+  /** Exchanges sent, failed and received since the start. */
   readonly counts = { sent: 0, failed: 0, received: 0 };
 
   constructor(private readonly options: MembershipOptions) {
     this.#self = this.#createSelf('live');
   }
 
-  /** This entry as others are told. */
+  /** This entry as it is announced to its peers. */
   get self(): Member {
     return this.#self;
   }
 
-  /** Members that are live or only suspected, with this entry unless it is stopping. */
+  /** Returns the live and suspected members, including this entry unless it is stopping. */
   listCandidates(): readonly Member[] {
     const others = listMembers(this.#roster, ['live', 'suspect']);
     return this.#self.state === 'live' ? [this.#self, ...others] : others;
   }
 
-  /** All members that are not gone, with this entry first. */
+  /** Returns all members that are not gone, this entry first. */
   listAll(): readonly Member[] {
     return [this.#self, ...listMembers(this.#roster, ['live', 'stopping', 'suspect'])];
   }
 
-  /** Tells all peers that a target is leaving. */
-  announceLeaving(target: string): void {
+  /** Announces to all peers that a target is leaving. */
+  announceTargetLeaving(target: string): void {
     if (this.#notices.add(target, 0, this.options.clock.now())) this.push();
   }
 
-  /** Says that this entry is stopping, to every member at once. */
+  /** Announces directly to every live or suspected member that this entry is stopping. */
   async announceStopping(): Promise<void> {
     this.#self = { ...this.#self, state: 'stopping' };
     this.options.onChange();
@@ -136,15 +143,15 @@
     await Promise.all(members.map((member) => this.#exchange(member.peers, false)));
   }
 
-  /** Says that this entry is gone, to a few members, who pass it on. */
+  /** Announces to a few live members that this entry is gone; they pass it on by gossip. */
   async announceGone(): Promise<void> {
     this.#self = { ...this.#self, state: 'gone' };
     const members = shuffleItems(listMembers(this.#roster, ['live']), this.options.random);
-    const some = members.slice(0, PUSH_FANOUT);
-    await Promise.all(some.map((member) => this.#exchange(member.peers, false)));
+    const chosen = members.slice(0, PUSH_FANOUT);
+    await Promise.all(chosen.map((member) => this.#exchange(member.peers, false)));
   }
 
-  /** Exchanges with a few members now, because there is news that cannot wait. */
+  /** Exchanges with a few live members at once, for an update that must not wait for a period. */
   push(): void {
     const members = shuffleItems(listMembers(this.#roster, ['live']), this.options.random);
     for (const member of members.slice(0, PUSH_FANOUT)) {
@@ -153,8 +160,8 @@
   }
 
   /**
-   * Asks every member that is not gone for what it knows; undefined when it did not answer.
-   * Its cost grows with the fleet, so it is for the acts of operators only.
+   * Asks every member that is not gone for its versions of the configuration and the VM list.
+   * The cost grows with the fleet, so this is only for requests of operators.
    */
   async pollAll(): Promise<readonly PolledMember[]> {
     const { transport, times } = this.options;
@@ -164,9 +171,9 @@
         const address = parseAddress(member.peers);
         if (address === undefined) return { member, knowledge: undefined };
         this.counts.sent += 1;
-        const request = { ...this.#compose(member.id, false), wantAll: false };
+        const request = { ...this.#composeMessage(member.id, false), wantAll: false };
         const result = await transport.connect(address).exchange(request, times.timeout);
-        result.ifRight((reply) => this.#absorb(reply));
+        result.ifRight((reply) => this.#receiveMessage(reply));
         return {
           member,
           knowledge: result
@@ -178,32 +185,32 @@
     );
   }
 
-  /** Joins through the seeds: asks a few of them for all members. */
+  /** Joins the fleet: asks a few of the seeds for all members. */
   async join(): Promise<void> {
-    const seeds = this.#listStrangers();
-    const asked = shuffleItems(seeds, this.options.random).slice(0, PUSH_FANOUT);
-    await Promise.all(asked.map((peers) => this.#exchange(peers, true)));
+    const seeds = this.#listUnknownSeeds();
+    const chosen = shuffleItems(seeds, this.options.random).slice(0, PUSH_FANOUT);
+    await Promise.all(chosen.map((peers) => this.#exchange(peers, true)));
   }
 
-  /** Runs the protocol until the signal aborts. */
+  /** Runs the protocol until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, random, times } = this.options;
-    this.#lastTick = clock.now();
+    this.#lastTickAt = clock.now();
     while (!signal.aborted) {
       await clock.sleep(times.period * (0.9 + random.next() * 0.2), signal);
       if (signal.aborted) return;
-      await this.#tick();
+      await this.#runPeriod();
     }
   }
 
-  /** Answers a peer's exchange. */
-  answer(request: ExchangeRequest): ExchangeMessage {
+  /** Answers an exchange that a peer started. */
+  answerExchange(request: ExchangeRequest): ExchangeMessage {
     this.counts.received += 1;
-    this.#absorb(request);
-    return this.#compose(request.from.id, request.wantAll);
+    this.#receiveMessage(request);
+    return this.#composeMessage(request.from.id, request.wantAll);
   }
 
-  /** Reaches a peer on behalf of another one. */
+  /** Probes the entry at the address `peers` on behalf of another entry; true when it answers. */
   async probe(peers: string): Promise<boolean> {
     return this.#exchange(peers, false);
   }
@@ -212,50 +219,50 @@
     return { ...this.options.self, id: this.options.random.id(), incarnation: 0, state };
   }
 
-  async #tick(): Promise<void> {
+  async #runPeriod(): Promise<void> {
     const { clock, times } = this.options;
     const now = clock.now();
-    // After a pause of this process the others' silence says nothing about them.
-    this.#paused = now - this.#lastTick > times.period * PAUSE_PERIODS;
-    if (this.#paused) this.#excuseSuspects(now);
-    this.#lastTick = now;
-    this.#ticks += 1;
+    // After a pause of this process, missing replies are no evidence that peers failed.
+    this.#wasPaused = now - this.#lastTickAt > times.period * PAUSE_THRESHOLD_PERIODS;
+    if (this.#wasPaused) this.#renewSuspicions(now);
+    this.#lastTickAt = now;
+    this.#tickCount += 1;
     this.#expireSuspects(now);
-    this.#roster = forgetGone(this.#roster, now, FORGET_AFTER);
-    // A full exchange is as long as the fleet is large, so it comes the more seldom.
-    const full = this.#ticks % Math.max(FULL_SYNC_PERIODS, this.#roster.size) === 0;
-    if (this.#ticks % SEED_PERIODS === 0) await this.#tryStranger();
-    const peer = this.#nextPeer();
+    this.#roster = forgetGone(this.#roster, now, GONE_RETENTION_MS);
+    // The size of a full exchange grows with the fleet, so its interval grows, too.
+    const wantAll = this.#tickCount % Math.max(MIN_FULL_SYNC_PERIODS, this.#roster.size) === 0;
+    if (this.#tickCount % SEED_INTERVAL_PERIODS === 0) await this.#tryUnknownSeed();
+    const peer = this.#chooseNextPeer();
     if (peer === undefined) return;
-    if (await this.#exchange(peer.peers, full)) return;
-    if (await this.#reachIndirectly(peer)) return;
-    if (!this.#paused) this.#suspect(peer);
+    if (await this.#exchange(peer.peers, wantAll)) return;
+    if (await this.#probeIndirectly(peer)) return;
+    if (!this.#wasPaused) this.#suspect(peer);
   }
 
-  #nextPeer(): Member | undefined {
+  #chooseNextPeer(): Member | undefined {
     const members = new Map(
       listMembers(this.#roster, ['live', 'stopping', 'suspect']).map((m) => [m.id, m]),
     );
     for (;;) {
-      const [id, ...rest] = this.#turn;
+      const [id, ...rest] = this.#probeOrder;
       if (id === undefined) break;
-      this.#turn = rest;
+      this.#probeOrder = rest;
       const member = members.get(id);
       if (member !== undefined) return member;
     }
-    this.#turn = shuffleItems([...members.keys()], this.options.random);
-    const [first] = this.#turn;
-    this.#turn = this.#turn.slice(1);
+    this.#probeOrder = shuffleItems([...members.keys()], this.options.random);
+    const [first] = this.#probeOrder;
+    this.#probeOrder = this.#probeOrder.slice(1);
     return first === undefined ? undefined : members.get(first);
   }
 
-  /** Tries an address that no member has: a new entry, or the far side of a healed partition. */
-  async #tryStranger(): Promise<void> {
-    const [stranger] = shuffleItems(this.#listStrangers(), this.options.random);
+  /** Tries an unknown seed: a new entry, or one from across a partition that has healed. */
+  async #tryUnknownSeed(): Promise<void> {
+    const [stranger] = shuffleItems(this.#listUnknownSeeds(), this.options.random);
     if (stranger !== undefined) await this.#exchange(stranger, true);
   }
 
-  #listStrangers(): readonly string[] {
+  #listUnknownSeeds(): readonly string[] {
     const known = new Set(
       listMembers(this.#roster, ['live', 'stopping', 'suspect']).map(({ peers }) => peers),
     );
@@ -268,22 +275,22 @@
     if (address === undefined) return false;
     const { transport, times } = this.options;
     this.counts.sent += 1;
-    const request = { ...this.#compose(peers, wantAll), wantAll };
+    const request = { ...this.#composeMessage(peers, wantAll), wantAll };
     const result = await transport.connect(address).exchange(request, times.timeout);
     if (result.isLeft()) {
       this.counts.failed += 1;
       return false;
     }
     const reply = result.unsafeCoerce();
-    this.#absorb(reply);
-    this.#update(replaceAtAddress(this.#roster, reply.from, this.options.clock.now()));
+    this.#receiveMessage(reply);
+    this.#updateRoster(replaceAtAddress(this.#roster, reply.from, this.options.clock.now()));
     return true;
   }
 
-  async #reachIndirectly(peer: Member): Promise<boolean> {
+  async #probeIndirectly(peer: Member): Promise<boolean> {
     const { random, transport, times } = this.options;
     const others = listMembers(this.#roster, ['live']).filter(({ id }) => id !== peer.id);
-    const helpers = shuffleItems(others, random).slice(0, INDIRECT_PROBES);
+    const helpers = shuffleItems(others, random).slice(0, INDIRECT_PROBE_COUNT);
     const answers = helpers.map(async (helper) => {
       const address = parseAddress(helper.peers);
       if (address === undefined) return false;
@@ -296,37 +303,38 @@
   #suspect(peer: Member): void {
     if (peer.state === 'suspect') return;
     this.options.log.info('member.suspect', { member: peer.name, id: peer.id });
-    this.#learn({ ...peer, state: 'suspect' });
+    this.#applyReport({ ...peer, state: 'suspect' });
   }
 
-  #excuseSuspects(now: number): void {
+  #renewSuspicions(now: number): void {
     const next = new Map(this.#roster);
     for (const [id, entry] of this.#roster) {
-      if (entry.member.state === 'suspect') next.set(id, { ...entry, since: now });
+      if (entry.member.state === 'suspect') next.set(id, { ...entry, changedAt: now });
     }
     this.#roster = next;
   }
 
   #expireSuspects(now: number): void {
-    for (const { member, since } of this.#roster.values()) {
-      if (member.state !== 'suspect' || now - since < this.options.times.suspicion) continue;
+    for (const { member, changedAt } of this.#roster.values()) {
+      if (member.state !== 'suspect' || now - changedAt < this.options.times.suspicionTimeout)
+        continue;
       this.options.log.warn('member.gone', { member: member.name, id: member.id });
-      this.#learn({ ...member, state: 'gone' });
+      this.#applyReport({ ...member, state: 'gone' });
     }
   }
 
-  #absorb(message: ExchangeMessage): void {
+  #receiveMessage(message: ExchangeMessage): void {
     for (const report of [message.from, ...message.members]) {
-      if (report.id === this.#self.id) this.#hearOfSelf(report);
-      else this.#learn(report);
+      if (report.id === this.#self.id) this.#receiveSelfReport(report);
+      else this.#applyReport(report);
     }
-    for (const notice of message.notices) this.#hearNotice(notice);
+    for (const notice of message.notices) this.#receiveNotice(notice);
     if (message.loads.length > 0) this.options.onLoads(message.loads);
     this.options.onKnowledge(message.from, message.knowledge);
   }
 
-  /** Refutes a suspicion; a member declared gone comes back as a new one. */
-  #hearOfSelf(report: Member): void {
+  /** Refutes a suspicion of this entry; rejoins under a new identifier when declared gone. */
+  #receiveSelfReport(report: Member): void {
     if (this.#self.state === 'gone') return;
     if (report.state === 'gone') {
       this.options.log.warn('member.rejoin', { id: this.#self.id });
@@ -339,36 +347,36 @@
     this.push();
   }
 
-  #hearNotice(notice: Notice): void {
+  #receiveNotice(notice: Notice): void {
     if (!this.#notices.add(notice.target, notice.age, this.options.clock.now())) return;
-    this.options.onNotice(notice.target);
+    this.options.onTargetLeaving(notice.target);
     this.push();
   }
 
-  #learn(report: Member): void {
-    this.#update(mergeMember(this.#roster, report, this.options.clock.now()), report.id);
+  #applyReport(report: Member): void {
+    this.#updateRoster(mergeMember(this.#roster, report, this.options.clock.now()), report.id);
   }
 
-  #update(next: Roster, changed?: string): void {
+  #updateRoster(next: Roster, changedId?: string): void {
     if (next === this.#roster) return;
-    const known = changed === undefined ? undefined : this.#roster.get(changed)?.member;
-    const current = changed === undefined ? undefined : next.get(changed)?.member;
+    const previous = changedId === undefined ? undefined : this.#roster.get(changedId)?.member;
+    const current = changedId === undefined ? undefined : next.get(changedId)?.member;
     assertInvariant(
-      known?.state !== 'gone' || current?.state === 'gone',
-      'a member that is gone stays gone',
+      previous?.state !== 'gone' || current?.state === 'gone',
+      'a member that is gone must not change state',
     );
     this.#roster = next;
-    if (changed !== undefined) this.#rumors.add(changed, this.#countSendings(next.size));
+    if (changedId !== undefined) this.#updates.add(changedId, this.#computeSendCount(next.size));
     this.options.onChange();
   }
 
-  /** An epidemic reaches all with a number of sendings that grows with the logarithm of the fleet. */
-  #countSendings(size: number): number {
+  /** Gossip reaches all members when each update is sent O(log n) times in a fleet of n. */
+  #computeSendCount(size: number): number {
     return 3 * Math.ceil(Math.log2(size + 2));
   }
 
-  #compose(peerKey: string, all: boolean): ExchangeMessage {
-    const members = all ? this.#listEverything() : this.#listNews(peerKey);
+  #composeMessage(peerKey: string, wantAll: boolean): ExchangeMessage {
+    const members = wantAll ? this.#listKnownMembers() : this.#listUpdates(peerKey);
     return {
       from: this.#self,
       members,
@@ -378,21 +386,21 @@
     };
   }
 
-  #listEverything(): readonly Member[] {
+  #listKnownMembers(): readonly Member[] {
     return [...this.#roster.values()].map(({ member }) => member);
   }
 
-  /** The news, and what is believed of the peer itself, so that it can refute. */
-  #listNews(peerKey: string): readonly Member[] {
-    const news = new Map<string, Member>();
+  /** Lists queued updates, and the peer's own state unless it is live, so that it can refute it. */
+  #listUpdates(peerKey: string): readonly Member[] {
+    const updates = new Map<string, Member>();
     for (const { member } of this.#roster.values()) {
       const isPeer = member.id === peerKey || member.peers === peerKey;
-      if (isPeer && member.state !== 'live') news.set(member.id, member);
+      if (isPeer && member.state !== 'live') updates.set(member.id, member);
     }
-    for (const id of this.#rumors.take(MAX_MEMBERS)) {
+    for (const id of this.#updates.take(MAX_MEMBERS_PER_MESSAGE)) {
       const entry = this.#roster.get(id);
-      if (entry !== undefined) news.set(id, entry.member);
+      if (entry !== undefined) updates.set(id, entry.member);
     }
-    return [...news.values()].slice(0, MAX_MEMBERS);
+    return [...updates.values()].slice(0, MAX_MEMBERS_PER_MESSAGE);
   }
 }
--- a/src/peer/codec.ts
+++ b/src/peer/codec.ts
@@ -1,4 +1,4 @@
-/** The messages between entries as the generated code of `proto/peer.proto` writes them. */
+/** Codecs between the messages of this folder and the generated types of `proto/peer.proto`. */
 import type { Reader, Writer } from 'protobufjs';
 import { orchidbeam as wire } from './generated/peer.js';
 import {
@@ -11,7 +11,7 @@
   type VmsRequest,
 } from './messages.js';
 
-/** Writes and reads one kind of message. */
+/** Encodes and decodes one type of message. */
 export interface Codec<T> {
   readonly write: (message: T) => Buffer;
   readonly read: (bytes: Buffer) => T;
@@ -22,14 +22,14 @@
   decode(reader: Reader | Uint8Array, length?: number): object;
 }
 
-/** A method with its two messages. */
-export interface Method<Q, A> {
+/** An RPC method with the codecs of its request and reply. */
+export interface PeerMethod<Q, A> {
   readonly path: string;
   readonly request: Codec<Q>;
   readonly reply: Codec<A>;
 }
 
-/** Makes a codec from a generated type and the two steps between its shape and ours. */
+/** Creates a codec from a generated type and the conversions to and from it. */
 function createCodec<T, W extends object>(
   type: WireType,
   toWire: (message: T) => object,
@@ -64,7 +64,7 @@
     loads: message.loads.map((load) => ({
       ...{ ...load, rate: Math.round(load.rate), age: Math.round(load.age) },
     })),
-    knowledge: { ...message.knowledge, proofAge: clampAge(message.knowledge.proofAge) },
+    knowledge: { ...message.knowledge, proofAge: encodeAge(message.knowledge.proofAge) },
   };
 }
 
@@ -82,25 +82,26 @@
     })),
     knowledge: {
       revision: knowledge?.revision ?? 0,
-      proofAge: readAge(knowledge?.proofAge ?? 0),
+      proofAge: decodeAge(knowledge?.proofAge ?? 0),
       vmsReader: knowledge?.vmsReader ?? '',
       vmsCount: knowledge?.vmsCount ?? 0,
     },
   };
 }
 
-const NEVER = 0xffffffff;
+/** Stands for an infinite age in messages, whose ages are 32-bit integers. */
+const NEVER_ON_WIRE = 0xffffffff;
 
-function clampAge(age: number): number {
-  return Math.min(NEVER, Math.round(age));
+function encodeAge(age: number): number {
+  return Math.min(NEVER_ON_WIRE, Math.round(age));
 }
 
-function readAge(age: number): number {
-  return age === NEVER ? Infinity : age;
+function decodeAge(age: number): number {
+  return age === NEVER_ON_WIRE ? Infinity : age;
 }
 
-/** Tells each other what changed. */
-export const exchangeMethod: Method<ExchangeRequest, ExchangeMessage> = {
+/** Exchanges membership updates, notices, loads and knowledge. */
+export const exchangeMethod: PeerMethod<ExchangeRequest, ExchangeMessage> = {
   path: '/orchidbeam.Peer/Exchange',
   request: createCodec<ExchangeRequest, wire.IExchangeRequest>(
     wire.ExchangeRequest,
@@ -114,8 +115,8 @@
   ),
 };
 
-/** Asks a peer to reach another one. */
-export const probeMethod: Method<string, boolean> = {
+/** Asks a peer to probe another one. */
+export const probeMethod: PeerMethod<string, boolean> = {
   path: '/orchidbeam.Peer/Probe',
   request: createCodec<string, wire.IProbeRequest>(
     wire.ProbeRequest,
@@ -129,8 +130,8 @@
   ),
 };
 
-/** Fetches the configuration. */
-export const configMethod: Method<readonly string[], ConfigReply> = {
+/** Fetches the manifest and the texts whose hashes are not in the request. */
+export const fetchConfigMethod: PeerMethod<readonly string[], ConfigReply> = {
   path: '/orchidbeam.Peer/FetchConfig',
   request: createCodec<readonly string[], wire.IConfigRequest>(
     wire.ConfigRequest,
@@ -139,20 +140,20 @@
   ),
   reply: createCodec<ConfigReply, wire.IConfigReply>(
     wire.ConfigReply,
-    (reply) => ({ ...reply, proofAge: clampAge(reply.proofAge) }),
+    (reply) => ({ ...reply, proofAge: encodeAge(reply.proofAge) }),
     (message) => ({
       manifest: message.manifest ?? '',
       texts: (message.texts ?? []).map(({ hash, text }) => ({
         hash: hash ?? '',
         text: text ?? '',
       })),
-      proofAge: readAge(message.proofAge ?? 0),
+      proofAge: decodeAge(message.proofAge ?? 0),
     }),
   ),
 };
 
-/** Fetches the list of VMs or what changed in it. */
-export const vmsMethod: Method<VmsRequest, VmsReply> = {
+/** Fetches the list of VMs or its changes since the list that the requester has. */
+export const fetchVmsMethod: PeerMethod<VmsRequest, VmsReply> = {
   path: '/orchidbeam.Peer/FetchVms',
   request: createCodec<VmsRequest, wire.IVmsRequest>(
     wire.VmsRequest,
--- a/src/peer/grpc.ts
+++ b/src/peer/grpc.ts
@@ -1,4 +1,4 @@
-/** The transport between entries over gRPC. */
+/** The gRPC transport between entries. */
 import {
   type ChannelOptions,
   Client,
@@ -19,11 +19,11 @@
 import { type Address, formatAddress, matchesSecret } from '../kernel/index.js';
 import {
   type Codec,
-  type Method,
-  configMethod,
+  type PeerMethod,
+  fetchConfigMethod,
   exchangeMethod,
   probeMethod,
-  vmsMethod,
+  fetchVmsMethod,
 } from './codec.js';
 import {
   type PeerClient,
@@ -42,9 +42,9 @@
   'grpc.enable_http_proxy': 0,
 };
 
-const SECRET_KEY = 'orchidbeam-secret';
+const SECRET_METADATA_KEY = 'orchidbeam-secret';
 
-function defineMethod<Q, A>(method: Method<Q, A>, counter: Counter) {
+function defineMethod<Q, A>(method: PeerMethod<Q, A>, counter: TrafficCounter) {
   const request = countCodec(method.request, counter);
   const reply = countCodec(method.reply, counter);
   return {
@@ -58,23 +58,23 @@
   } as const;
 }
 
-function definePeerService(counter: Counter) {
+function definePeerService(counter: TrafficCounter) {
   return {
     exchange: defineMethod(exchangeMethod, counter),
     probe: defineMethod(probeMethod, counter),
-    fetchConfig: defineMethod(configMethod, counter),
-    fetchVms: defineMethod(vmsMethod, counter),
+    fetchConfig: defineMethod(fetchConfigMethod, counter),
+    fetchVms: defineMethod(fetchVmsMethod, counter),
   };
 }
 
-interface Counter {
+interface TrafficCounter {
   messages: number;
   bytesOut: number;
   bytesIn: number;
 }
 
-/** Counts the bytes that a codec writes and reads. */
-function countCodec<T>(codec: Codec<T>, counter: Counter): Codec<T> {
+/** Wraps a codec to count the messages and bytes that it writes and the bytes that it reads. */
+function countCodec<T>(codec: Codec<T>, counter: TrafficCounter): Codec<T> {
   return {
     write: (message) => {
       const bytes = codec.write(message);
@@ -89,10 +89,10 @@
   };
 }
 
-/** Answers a unary call with an async handler, for callers that know the secret. */
-function createUnary<Q, A>(secret: string, handle: (request: Q) => Promise<A>) {
+/** Wraps an async handler for unary calls; rejects peers that do not send the shared secret. */
+function createUnaryHandler<Q, A>(secret: string, handle: (request: Q) => Promise<A>) {
   return (call: ServerUnaryCall<Q, A>, done: sendUnaryData<A>) => {
-    const [given = ''] = call.metadata.get(SECRET_KEY);
+    const [given = ''] = call.metadata.get(SECRET_METADATA_KEY);
     if (!matchesSecret(String(given), secret)) {
       done({ code: status.UNAUTHENTICATED, details: 'wrong peer_secret' });
       return;
@@ -104,14 +104,14 @@
   };
 }
 
-/** PEM files by which entries prove themselves to each other; they are read again when they change. */
+/** PEM files with which entries authenticate to each other; they are reloaded when they change. */
 export interface PeerKeyFiles {
   readonly cert: string;
   readonly key: string;
-  /** Certificates of the authority that signs the entries' certificates. */
+  /** Certificates of the authority that signs the certificates of the entries. */
   readonly ca: string;
-  /** Milliseconds between two looks at the files. */
-  readonly refresh: number;
+  /** Time between two checks of the files for changes. */
+  readonly refreshIntervalMs: number;
 }
 
 interface Credentials {
@@ -127,27 +127,27 @@
     certificateFile: files.cert,
     privateKeyFile: files.key,
     caCertificateFile: files.ca,
-    refreshIntervalMs: files.refresh,
+    refreshIntervalMs: files.refreshIntervalMs,
   });
   return {
     server: experimental.createCertificateProviderServerCredentials(provider, provider, true),
     client: experimental.createCertificateProviderChannelCredentials(provider, provider, {
-      // Entries are known by IP numbers; who holds a certificate of the authority is an entry.
+      // Entries are addressed by IP; any holder of a certificate of the authority is an entry.
       checkServerIdentity: () => undefined,
     }),
   };
 }
 
 /**
- * Creates the gRPC transport. Peers prove themselves with the shared secret, and with certificates
- * of one authority when `files` are given.
+ * Creates the gRPC transport. Peers authenticate with the shared secret, and with certificates of
+ * one authority, too, when `files` is given.
  */
 export function createGrpcTransport(secret: string, files?: PeerKeyFiles): PeerTransport {
   const { server: serverCredentials, client: clientCredentials } = createCredentials(files);
   const clients = new Map<string, Client>();
-  const counter: Counter = { messages: 0, bytesOut: 0, bytesIn: 0 };
+  const counter: TrafficCounter = { messages: 0, bytesOut: 0, bytesIn: 0 };
   const metadata = new Metadata();
-  metadata.set(SECRET_KEY, secret);
+  metadata.set(SECRET_METADATA_KEY, secret);
 
   function findClient(address: Address): Client {
     const name = formatAddress(address);
@@ -160,8 +160,8 @@
 
   function callPeer<Q, A>(
     address: Address,
-    method: Method<Q, A>,
-    { request, limit }: { readonly request: Q; readonly limit: number },
+    method: PeerMethod<Q, A>,
+    { request, timeoutMs }: { readonly request: Q; readonly timeoutMs: number },
   ): PeerResult<A> {
     return new Promise((resolve) => {
       const finish = (error: ServiceError | null, reply?: A): void => {
@@ -177,7 +177,7 @@
         countCodec(method.reply, counter).read,
         request,
         metadata,
-        { deadline: Date.now() + limit },
+        { deadline: Date.now() + timeoutMs },
         finish,
       );
       call.on('error', () => undefined);
@@ -185,14 +185,14 @@
   }
 
   return {
-    traffic: () => ({ ...counter }),
+    readTraffic: () => ({ ...counter }),
     async serve(address, handlers: PeerHandlers) {
       const server = new Server(CHANNEL_OPTIONS);
       const implementation: UntypedServiceImplementation = {
-        exchange: createUnary(secret, handlers.exchange),
-        probe: createUnary(secret, handlers.probe),
-        fetchConfig: createUnary(secret, handlers.fetchConfig),
-        fetchVms: createUnary(secret, handlers.fetchVms),
+        exchange: createUnaryHandler(secret, handlers.exchange),
+        probe: createUnaryHandler(secret, handlers.probe),
+        fetchConfig: createUnaryHandler(secret, handlers.fetchConfig),
+        fetchVms: createUnaryHandler(secret, handlers.fetchVms),
       };
       server.addService(definePeerService(counter), implementation);
       const port = await new Promise<number>((resolve, reject) => {
@@ -203,10 +203,12 @@
       return { address: { host: address.host, port }, close: () => server.forceShutdown() };
     },
     connect: (address): PeerClient => ({
-      exchange: (request, limit) => callPeer(address, exchangeMethod, { request, limit }),
-      probe: (peers, limit) => callPeer(address, probeMethod, { request: peers, limit }),
-      fetchConfig: (known, limit) => callPeer(address, configMethod, { request: known, limit }),
-      fetchVms: (known, limit) => callPeer(address, vmsMethod, { request: known, limit }),
+      exchange: (request, timeoutMs) => callPeer(address, exchangeMethod, { request, timeoutMs }),
+      probe: (peers, timeoutMs) => callPeer(address, probeMethod, { request: peers, timeoutMs }),
+      fetchConfig: (known, timeoutMs) =>
+        callPeer(address, fetchConfigMethod, { request: known, timeoutMs }),
+      fetchVms: (known, timeoutMs) =>
+        callPeer(address, fetchVmsMethod, { request: known, timeoutMs }),
     }),
     forget(address) {
       clients.get(formatAddress(address))?.close();
--- a/src/policy/policy.ts
+++ b/src/policy/policy.ts
@@ -1,13 +1,14 @@
 /**
- * Policies: short programs that say how work is spread, held back or refused.
+ * Policies: short programs of operators that route, limit, classify or refuse calls.
  *
- * A policy is one CEL expression whose value is a decision. It is parsed and type-checked once, when
- * the configuration is checked; evaluation has no side effects and no loops, and its size is bounded.
+ * A policy is one CEL expression whose value is a decision. It is parsed and type-checked once,
+ * when the configuration is checked. Its size is limited, and it has neither side effects nor
+ * loops.
  */
 import { Environment } from '@marcbachmann/cel-js';
 import { Either, Left, Right } from 'purify-ts';
 
-/** What a policy decides about one call. */
+/** The decision of a policy about one call. */
 export type Decision =
   | { readonly kind: 'pass' }
   | { readonly kind: 'refuse'; readonly reason: string }
@@ -15,7 +16,7 @@
   | { readonly kind: 'hold'; readonly share: number }
   | { readonly kind: 'spread'; readonly pool: string };
 
-/** What a policy can see of a call. */
+/** The properties of a call that a policy can read. */
 export interface CallView {
   readonly method: string;
   readonly path: string;
@@ -28,7 +29,7 @@
   readonly headers: Readonly<Record<string, string>>;
 }
 
-/** What a policy can see of the service's main pool, in the entry where the call waits. */
+/** The state of the service's main pool that a policy can read, in the entry that has the call. */
 export interface PoolView {
   readonly busy: number;
   readonly waiting: number;
@@ -36,7 +37,7 @@
   readonly ready: number;
 }
 
-/** All that a policy can see. */
+/** The variables of a policy. */
 export interface PolicyView {
   readonly call: CallView;
   readonly pool: PoolView;
@@ -46,11 +47,11 @@
 export interface Policy {
   readonly name: string;
   readonly program: string;
-  /** Evaluates the program; Left holds the message of a failure at run time. */
+  /** Evaluates the program; Left is the message of a run-time error. */
   readonly evaluate: (view: PolicyView) => Either<string, Decision>;
 }
 
-/** Why a program was not accepted, with its place in the program, from 1. */
+/** Why a program was not accepted; line and column in the program start at 1. */
 export interface PolicyMistake {
   readonly line: number;
   readonly column: number;
@@ -58,15 +59,15 @@
   readonly expected: string;
 }
 
-/** A variable as the reference shows it. */
-export interface VariableDoc {
+/** The reference entry of a variable or decision. */
+export interface PolicyDocEntry {
   readonly name: string;
   readonly type: string;
   readonly doc: string;
 }
 
-/** The variables of a program, with their units. */
-export const POLICY_VARIABLES: readonly VariableDoc[] = [
+/** The variables of a program, with their types and units. */
+export const POLICY_VARIABLES: readonly PolicyDocEntry[] = [
   { name: 'call.method', type: 'string', doc: 'HTTP method, such as GET' },
   { name: 'call.path', type: 'string', doc: 'Path of the call, without its query' },
   { name: 'call.caller', type: 'string', doc: 'Orchidbeam-Caller header, else the IP number' },
@@ -91,7 +92,7 @@
 ];
 
 /** The decisions a program can return. */
-export const POLICY_DECISIONS: readonly VariableDoc[] = [
+export const POLICY_DECISIONS: readonly PolicyDocEntry[] = [
   { name: 'pass()', type: 'Decision', doc: 'Leaves the call to the next policy' },
   { name: 'refuse(reason)', type: 'Decision', doc: 'Refuses the call as not run' },
   { name: 'classify(class)', type: 'Decision', doc: 'Puts the call into a class of work' },
@@ -103,17 +104,17 @@
   { name: 'spread(pool)', type: 'Decision', doc: 'Sends the call to another pool of the service' },
 ];
 
-const MAX_NODES = 500;
-const MAX_DEPTH = 40;
+const MAX_AST_NODES = 500;
+const MAX_AST_DEPTH = 40;
 
 class DecisionValue {
   constructor(readonly decision: Decision) {}
 }
 
 function createEnvironment(): Environment {
-  const bounds = { maxAstNodes: MAX_NODES, maxDepth: MAX_DEPTH };
-  const make = (decision: Decision) => new DecisionValue(decision);
-  const fieldsOf = (prefix: string) =>
+  const bounds = { maxAstNodes: MAX_AST_NODES, maxDepth: MAX_AST_DEPTH };
+  const makeDecision = (decision: Decision) => new DecisionValue(decision);
+  const listFields = (prefix: string) =>
     Object.fromEntries(
       POLICY_VARIABLES.filter(({ name }) => name.startsWith(prefix)).map(({ name, type }) => [
         name.slice(prefix.length),
@@ -122,22 +123,26 @@
     );
   return new Environment({ limits: bounds })
     .registerType('Decision', { ctor: DecisionValue, fields: {} })
-    .registerVariable({ name: 'call', schema: fieldsOf('call.') })
-    .registerVariable({ name: 'pool', schema: fieldsOf('pool.') })
-    .registerFunction('pass(): Decision', () => make({ kind: 'pass' }))
+    .registerVariable({ name: 'call', schema: listFields('call.') })
+    .registerVariable({ name: 'pool', schema: listFields('pool.') })
+    .registerFunction('pass(): Decision', () => makeDecision({ kind: 'pass' }))
     .registerFunction('refuse(string): Decision', (reason: string) =>
-      make({ kind: 'refuse', reason }),
+      makeDecision({ kind: 'refuse', reason }),
     )
     .registerFunction('classify(string): Decision', (name: string) =>
-      make({ kind: 'classify', name }),
+      makeDecision({ kind: 'classify', name }),
     )
-    .registerFunction('hold(double): Decision', (share: number) => make({ kind: 'hold', share }))
-    .registerFunction('spread(string): Decision', (pool: string) => make({ kind: 'spread', pool }));
+    .registerFunction('hold(double): Decision', (share: number) =>
+      makeDecision({ kind: 'hold', share }),
+    )
+    .registerFunction('spread(string): Decision', (pool: string) =>
+      makeDecision({ kind: 'spread', pool }),
+    );
 }
 
 const environment = createEnvironment();
 
-function readMistake(program: string, error: unknown): PolicyMistake {
+function createMistake(program: string, error: unknown): PolicyMistake {
   const { message, range } = error as Error & { readonly range?: { readonly start: number } };
   const before = program.slice(0, range?.start ?? 0);
   const line = before.split('\n').length;
@@ -146,10 +151,10 @@
   return { line, column, what, expected: 'a CEL expression that returns a Decision' };
 }
 
-/** Parses and type-checks a program. */
+/** Parses and type-checks a program; Left says where and why it is not accepted. */
 export function compilePolicy(name: string, program: string): Either<PolicyMistake, Policy> {
   const checked = environment.check(program);
-  if (!checked.valid) return Left(readMistake(program, checked.error));
+  if (!checked.valid) return Left(createMistake(program, checked.error));
   if (checked.type !== 'Decision') {
     const what = `the program returns ${checked.type}`;
     return Left({ line: 1, column: 1, what, expected: 'a Decision such as pass() or refuse("…")' });
--- a/src/spread/config-follower.ts
+++ b/src/spread/config-follower.ts
@@ -1,10 +1,10 @@
 /**
  * Keeps this daemon's configuration current.
  *
- * A few entries, found by rendezvous hashing among the live ones, watch the platform; all others
- * hear from peers. A daemon that hears nothing fresh for some seconds reads the platform itself, so
- * being cut off from one side is enough to lose freshness only when the other side is cut off too.
- * The revision in force never falls while the daemon runs.
+ * A few entries, chosen by rendezvous hashing among the live ones, watch the platform; all others
+ * fetch changes from peers. A daemon whose proof of the newest revision is some seconds old reads
+ * the platform itself, so its configuration becomes stale only when it can reach neither the
+ * platform nor its peers. The revision in force never decreases while the daemon runs.
  */
 import {
   type Clock,
@@ -28,22 +28,26 @@
 import type { ConfigReply, Member, PeerTransport } from '../peer/index.js';
 import type { Platform } from '../platform/index.js';
 import { formatMistake } from '../settings/index.js';
-import { type Proof, joinProofs } from './proof.js';
+import { type Proof, mergeProofs } from './proof.js';
 
-/** Times of the follower, in milliseconds. */
+/** Times of a {@link ConfigFollower}, in milliseconds. */
 export interface FollowerTimes {
-  /** Between two reads of the manifest by an entry that watches: a watch can skip a change. */
-  readonly reread: number;
-  /** Age of the proof at which any daemon reads the manifest itself. */
-  readonly doubt: number;
-  /** Longest wait for a peer's reply. */
+  /** Time between two reads of the manifest by a reader, because a watch can miss a change. */
+  readonly rereadInterval: number;
+  /** Age of the proof from which any daemon reads the manifest itself. */
+  readonly maxProofAge: number;
+  /** Timeout of a fetch from a peer. */
   readonly timeout: number;
 }
 
-/** The times used unless a test says otherwise. */
-export const DEFAULT_FOLLOWER_TIMES: FollowerTimes = { reread: 3000, doubt: 8000, timeout: 3000 };
+/** Default times of a {@link ConfigFollower}. */
+export const DEFAULT_FOLLOWER_TIMES: FollowerTimes = {
+  rereadInterval: 3000,
+  maxProofAge: 8000,
+  timeout: 3000,
+};
 
-/** What the follower is made from. */
+/** Dependencies and callbacks of a {@link ConfigFollower}. */
 export interface ConfigFollowerOptions {
   readonly store: ConfigStore;
   readonly platform: Platform;
@@ -52,25 +56,26 @@
   readonly random: Random;
   readonly log: Log;
   readonly times: FollowerTimes;
-  /** The live entries and the identifier of this one. */
+  /** Lists the live entries, from which the readers are chosen. */
   readonly listCandidates: () => readonly HomeCandidate[];
+  /** Returns the identifier of this entry. */
   readonly selfId: () => string;
-  /** Called after a newer configuration came into force. */
+  /** Called after a newer configuration has come into force. */
   readonly onAdopted: (configuration: Configuration) => void;
 }
 
-/** How many entries watch the platform. */
-export const READERS = 2;
+/** Number of entries that watch the platform. */
+export const CONFIG_READERS = 2;
 
-/** A proof is usually no older than this many rereads when it has travelled to everybody. */
-const USUAL_AGE = 1.7;
-const STAGGER = 400;
-const ACTING_SPAN = 30_000;
-const FIRST_BACK_OFF = 250;
-const MAX_BACK_OFF = 4000;
-const IDLE_PERIOD = 500;
+/** Usual maximum age of a proof when it has reached all daemons, in reread intervals. */
+const TYPICAL_PROOF_AGE_REREADS = 1.7;
+const READ_STAGGER_MS = 400;
+const SUBSTITUTE_DURATION_MS = 30_000;
+const INITIAL_BACK_OFF_MS = 250;
+const MAX_BACK_OFF_MS = 4000;
+const IDLE_PERIOD_MS = 500;
 
-/** Follows the configuration for one daemon. */
+/** Keeps the configuration of one daemon current, from the platform or from peers. */
 export class ConfigFollower {
   #configuration = EMPTY_CONFIGURATION;
 
@@ -86,37 +91,37 @@
 
   #fault: string | undefined;
 
-  /** Until when this entry watches in the place of others. */
-  #actingUntil = -Infinity;
+  /** Until when this entry watches in place of the chosen readers, on the kernel's clock. */
+  #substituteUntil = -Infinity;
 
   constructor(private readonly options: ConfigFollowerOptions) {}
 
-  /** The configuration in force here. */
+  /** The configuration in force in this daemon. */
   get configuration(): Configuration {
     return this.#configuration;
   }
 
-  /** Whether any configuration was ever learnt; without one nothing is served. */
-  get isKnown(): boolean {
+  /** Whether any configuration has been adopted; without one no call is served. */
+  get hasConfiguration(): boolean {
     return this.#manifest !== undefined;
   }
 
-  /** Why a newer revision is not in force here, if one was refused. */
+  /** Why a newer revision was refused, if one was. */
   get fault(): string | undefined {
     return this.#fault;
   }
 
-  /** Milliseconds since the revision in force was last shown to be the newest. */
+  /** Milliseconds since the revision in force was last known to be the newest. */
   get proofAge(): number {
     return this.options.clock.now() - this.#proof.at;
   }
 
-  /** Follows until the signal aborts. */
+  /** Follows the configuration until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     await this.readPlatform();
-    let failures = this.isKnown ? 0 : 1;
+    let failures = this.hasConfiguration ? 0 : 1;
     while (!signal.aborted) {
-      const wait = failures === 0 ? IDLE_PERIOD : this.#measureBackOff(failures);
+      const wait = failures === 0 ? IDLE_PERIOD_MS : this.#computeBackOff(failures);
       if (this.#isReader()) {
         if (failures > 0) await this.options.clock.sleep(wait, signal);
         failures = (await this.#watchOnce(signal)) ? 0 : failures + 1;
@@ -124,25 +129,25 @@
       }
       await this.options.clock.sleep(wait, signal);
       if (signal.aborted) return;
-      if (this.proofAge < this.#measurePatience()) {
+      if (this.proofAge < this.#computeMaxProofAge()) {
         failures = 0;
         continue;
       }
-      const isReached = await this.readPlatform();
-      failures = isReached ? 0 : failures + 1;
-      // Those who should watch seem not to reach the platform, and this entry does: it stands in.
-      if (isReached) this.#actingUntil = this.options.clock.now() + ACTING_SPAN;
+      const isAnswered = await this.readPlatform();
+      failures = isAnswered ? 0 : failures + 1;
+      // The chosen readers seem unable to reach the platform; this entry watches in their place.
+      if (isAnswered) this.#substituteUntil = this.options.clock.now() + SUBSTITUTE_DURATION_MS;
     }
   }
 
   /** Reads the manifest from the platform; false when the platform did not answer. */
   async readPlatform(): Promise<boolean> {
-    const asked = this.options.clock.now();
+    const requestedAt = this.options.clock.now();
     const head = await this.options.store.readHead();
     if (head.kind === 'unavailable') return false;
     this.#storeVersion = head.item?.version ?? 0;
     if (head.manifest.revision < this.#configuration.revision) {
-      // The platform's service itself went back; what was in force stays in force.
+      // The platform returned an older revision; the one in force stays in force.
       const { revision } = head.manifest;
       this.options.log.error('config.platform-behind', {
         revision,
@@ -153,26 +158,26 @@
     const documents = await this.options.store.readDocuments(head.manifest);
     if (documents.kind === 'unavailable') return false;
     this.#adopt(head.manifest, documents.documents);
-    this.#prove({ revision: head.manifest.revision, at: asked });
+    this.#recordProof({ revision: head.manifest.revision, at: requestedAt });
     return true;
   }
 
-  /** Takes a manifest that this daemon read or wrote in the platform at time `at` or later. */
-  async takeManifest(manifest: Manifest, at: number): Promise<void> {
+  /** Adopts a manifest that this daemon read from or wrote to the platform at `at` or later. */
+  async adoptManifest(manifest: Manifest, at: number): Promise<void> {
     const documents = await this.options.store.readDocuments(manifest);
     if (documents.kind === 'unavailable') return;
     this.#adopt(manifest, documents.documents);
-    this.#prove({ revision: manifest.revision, at });
+    this.#recordProof({ revision: manifest.revision, at });
   }
 
-  /** Takes what a peer says it knows; fetches from it when it knows more. */
-  hearKnowledge(from: Member, revision: number, proofAge: number): void {
-    const own = this.#configuration.revision;
-    if (revision === own) {
-      this.#prove({ revision, at: this.options.clock.now() - proofAge });
+  /** Processes the revision that a peer reports; fetches from the peer when it is newer. */
+  receiveKnowledge(from: Member, revision: number, proofAge: number): void {
+    const ownRevision = this.#configuration.revision;
+    if (revision === ownRevision) {
+      this.#recordProof({ revision, at: this.options.clock.now() - proofAge });
       return;
     }
-    if (revision < own || revision <= this.#fetchingRevision) return;
+    if (revision < ownRevision || revision <= this.#fetchingRevision) return;
     this.#fetchingRevision = revision;
     this.#fetching = this.#fetching
       .then(() => this.#fetchFrom(from))
@@ -181,17 +186,17 @@
       });
   }
 
-  /** Answers a peer that asks for the configuration. */
+  /** Answers a peer's fetch: the manifest, and the texts whose hashes are not in `known`. */
   answerFetch(known: readonly string[]): ConfigReply {
     if (this.#manifest === undefined) return { manifest: '', texts: [], proofAge: Infinity };
-    const has = new Set(known);
+    const knownHashes = new Set(known);
     const texts = Object.values(this.#manifest.documents)
-      .filter((hash) => !has.has(hash))
+      .filter((hash) => !knownHashes.has(hash))
       .map((hash) => ({ hash, text: this.options.store.getText(hash) ?? '' }));
     return { manifest: formatManifest(this.#manifest), texts, proofAge: this.proofAge };
   }
 
-  /** This entry's place in the order of those who watch; the first ones do, the next ones step in. */
+  /** Returns this entry's rank; the first {@link CONFIG_READERS} watch, the next replace them. */
   #findRank(): number {
     const ranked = rankCandidates('config-readers', this.options.listCandidates());
     const self = this.options.selfId();
@@ -200,42 +205,45 @@
   }
 
   #isReader(): boolean {
-    return this.#findRank() < READERS || this.options.clock.now() < this.#actingUntil;
+    return this.#findRank() < CONFIG_READERS || this.options.clock.now() < this.#substituteUntil;
   }
 
-  /** Age of the proof at which this entry reads the platform; the next in order is the first to. */
-  #measurePatience(): number {
-    const { reread, doubt } = this.options.times;
-    const rank = this.#findRank() - READERS;
-    return Math.min(doubt, reread * USUAL_AGE + rank * STAGGER);
+  /** Age of the proof from which this entry reads the platform; it grows with the rank. */
+  #computeMaxProofAge(): number {
+    const { rereadInterval, maxProofAge } = this.options.times;
+    const rank = this.#findRank() - CONFIG_READERS;
+    return Math.min(
+      maxProofAge,
+      rereadInterval * TYPICAL_PROOF_AGE_REREADS + rank * READ_STAGGER_MS,
+    );
   }
 
-  /** Waits for a change, but rereads in any case now and then. */
+  /** Waits for a change, at most for the reread interval, then reads; false when that failed. */
   async #watchOnce(signal: AbortSignal): Promise<boolean> {
     const { clock, platform, times } = this.options;
-    const limit = new AbortController();
-    const timer = clock.schedule(times.reread, () => limit.abort());
-    const either = AbortSignal.any([signal, limit.signal]);
-    const result = await platform.watch(HEAD_KEY, this.#storeVersion, either);
+    const rereadLimit = new AbortController();
+    const timer = clock.schedule(times.rereadInterval, () => rereadLimit.abort());
+    const stopSignal = AbortSignal.any([signal, rereadLimit.signal]);
+    const result = await platform.watch(HEAD_KEY, this.#storeVersion, stopSignal);
     timer.cancel();
     if (signal.aborted) return true;
-    // A watch that fails within its time is a fault; one that we ended is not.
-    if (result.kind === 'unavailable' && !limit.signal.aborted) {
+    // A watch that fails before the reread interval is a fault; one ended by its limit is not.
+    if (result.kind === 'unavailable' && !rereadLimit.signal.aborted) {
       await this.readPlatform();
       return false;
     }
     return this.readPlatform();
   }
 
-  #measureBackOff(failures: number): number {
-    const limit = Math.min(MAX_BACK_OFF, FIRST_BACK_OFF * 2 ** failures);
+  #computeBackOff(failures: number): number {
+    const limit = Math.min(MAX_BACK_OFF_MS, INITIAL_BACK_OFF_MS * 2 ** failures);
     return limit * (0.5 + this.options.random.next() / 2);
   }
 
   async #fetchFrom(from: Member): Promise<void> {
     const address = parseAddress(from.peers);
     if (address === undefined) return;
-    const asked = this.options.clock.now();
+    const requestedAt = this.options.clock.now();
     const known = Object.values(this.#manifest?.documents ?? {});
     const peer = this.options.transport.connect(address);
     const result = await peer.fetchConfig(known, this.options.times.timeout);
@@ -248,17 +256,17 @@
     const documents = await this.options.store.readDocuments(manifest);
     if (documents.kind === 'unavailable') return;
     this.#adopt(manifest, documents.documents);
-    this.#prove({ revision: manifest.revision, at: asked - reply.proofAge });
+    this.#recordProof({ revision: manifest.revision, at: requestedAt - reply.proofAge });
   }
 
-  #prove(proof: Proof): void {
+  #recordProof(proof: Proof): void {
     if (proof.revision !== this.#configuration.revision) return;
-    this.#proof = joinProofs(this.#proof, proof);
+    this.#proof = mergeProofs(this.#proof, proof);
   }
 
   #adopt(manifest: Manifest, documents: Documents): void {
-    const before = this.#configuration.revision;
-    if (this.#manifest !== undefined && manifest.revision <= before) return;
+    const previousRevision = this.#configuration.revision;
+    if (this.#manifest !== undefined && manifest.revision <= previousRevision) return;
     const checked = checkConfiguration(manifest.revision, documents);
     checked.ifLeft((mistakes) => {
       const [first] = mistakes;
@@ -266,7 +274,10 @@
       this.options.log.error('config.refused', { revision: manifest.revision, fault: this.#fault });
     });
     checked.ifRight((configuration) => {
-      assertInvariant(configuration.revision >= before, 'the revision in force never falls');
+      assertInvariant(
+        configuration.revision >= previousRevision,
+        'the revision in force must not decrease',
+      );
       this.#fault = undefined;
       this.#manifest = manifest;
       this.#configuration = configuration;
--- a/src/spread/vms-follower.ts
+++ b/src/spread/vms-follower.ts
@@ -1,39 +1,42 @@
 /**
  * Keeps this daemon's copy of the platform's list of VMs.
  *
- * One entry, the first by rendezvous hashing, reads the list every second; what changed in it travels
- * from peer to peer, and the whole list only to those who lack what the change is against. When that
- * entry is silent for long, others read the list themselves.
+ * One entry, the first by rendezvous hashing, reads the list every second. Changes of the list are
+ * passed from peer to peer; the whole list goes only to a peer that lacks the list on which the
+ * changes are based. When that reader has been silent for too long, others read the list
+ * themselves.
  */
 import { type Clock, type Random, parseAddress } from '../kernel/index.js';
 import { type HomeCandidate, rankCandidates } from '../balance/index.js';
 import type { Member, PeerTransport, VmsReply, VmsRequest } from '../peer/index.js';
 import type { Platform, Vm } from '../platform/index.js';
 import {
-  type VmChange,
+  type VmListChange,
   type VmList,
   applyVmChange,
   createVmList,
   diffVmLists,
   isEmptyChange,
-  joinVmChanges,
+  mergeVmChanges,
   readVm,
   writeVm,
 } from './vm-list.js';
 
-/** What the follower is made from. */
+/** Dependencies and callbacks of a {@link VmsFollower}. */
 export interface VmsFollowerOptions {
   readonly platform: Platform;
   readonly transport: PeerTransport;
   readonly clock: Clock;
   readonly random: Random;
+  /** Lists the live entries, from which the reader is chosen. */
   readonly listCandidates: () => readonly HomeCandidate[];
+  /** Returns the identifier of this entry. */
   readonly selfId: () => string;
-  /** Called when the list changes. */
+  /** Called when the list of VMs changes. */
   readonly onChange: (vms: readonly Vm[]) => void;
 }
 
-/** Who read a list, and how often it has changed since that entry started. */
+/** The version of a list: who read it, and how often it has changed since that entry started. */
 export interface VmsSource {
   readonly reader: string;
   readonly count: number;
@@ -41,91 +44,94 @@
 
 interface LoggedChange {
   readonly count: number;
-  readonly change: VmChange;
+  readonly change: VmListChange;
 }
 
-const PERIOD = 1000;
-const DOUBT = 10_000;
-const TIMEOUT = 3000;
-const MAX_LOGGED = 64;
+const READ_PERIOD_MS = 1000;
+const MAX_SILENCE_MS = 10_000;
+const FETCH_TIMEOUT_MS = 3000;
+const MAX_LOGGED_CHANGES = 64;
 
-/** Follows the list of VMs for one daemon. */
+/** Keeps the list of VMs of one daemon current, from the platform or from peers. */
 export class VmsFollower {
   #list: VmList = new Map();
 
   #source: VmsSource = { reader: '', count: 0 };
 
-  /** Changes of the present reader, without gaps, the last of them leading to the present list. */
-  #log: readonly LoggedChange[] = [];
+  /** Consecutive changes by the current reader; the last one produced the current list. */
+  #changeLog: readonly LoggedChange[] = [];
 
-  #ownCount = 0;
+  #ownChangeCount = 0;
 
-  /** When the list was last heard to be what it is. */
-  #heardAt = -Infinity;
+  /** When the list was last confirmed to be current, on the kernel's clock. */
+  #confirmedAt = -Infinity;
 
   #fetching = false;
 
   constructor(private readonly options: VmsFollowerOptions) {}
 
-  /** The list as last learnt. */
+  /** The list of VMs as last read or received. */
   get vms(): readonly Vm[] {
     return [...this.#list.values()];
   }
 
-  /** Where the list that is known here comes from. */
+  /** The version of the list that this daemon has. */
   get source(): VmsSource {
     return this.#source;
   }
 
-  /** Follows until the signal aborts. */
+  /** Follows the list until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      const silent = this.options.clock.now() - this.#heardAt > DOUBT;
-      if (this.#findReader() === this.options.selfId() || silent) await this.readPlatform();
-      await this.options.clock.sleep(PERIOD * (0.8 + this.options.random.next() * 0.4), signal);
+      const isSilent = this.options.clock.now() - this.#confirmedAt > MAX_SILENCE_MS;
+      if (this.#findReader() === this.options.selfId() || isSilent) await this.readPlatform();
+      await this.options.clock.sleep(
+        READ_PERIOD_MS * (0.8 + this.options.random.next() * 0.4),
+        signal,
+      );
     }
   }
 
-  /** Reads the list from the platform. */
+  /** Reads the list from the platform; does nothing when the platform does not answer. */
   async readPlatform(): Promise<void> {
     const result = await this.options.platform.vms();
     if (result.kind === 'unavailable') return;
-    this.#heardAt = this.options.clock.now();
+    this.#confirmedAt = this.options.clock.now();
     const list = createVmList(result.vms);
     const reader = this.options.selfId();
     const change = diffVmLists(this.#list, list);
     if (this.#source.reader === reader && isEmptyChange(change)) return;
-    this.#ownCount += 1;
-    this.#take(list, change, { reader, count: this.#ownCount });
+    this.#ownChangeCount += 1;
+    this.#replaceList(list, change, { reader, count: this.#ownChangeCount });
   }
 
-  /** Takes what a peer says it knows; fetches from it when its list is newer. */
-  hearKnowledge(from: Member, reader: string, count: number): void {
+  /** Processes the list version that a peer reports; fetches from the peer when it is newer. */
+  receiveKnowledge(from: Member, reader: string, count: number): void {
     if (reader === '' || reader === this.options.selfId()) return;
-    const rightful = this.#findReader();
+    const designatedReader = this.#findReader();
     if (reader === this.#source.reader) {
-      const isCurrent = count === this.#source.count && reader === rightful;
-      if (isCurrent) this.#heardAt = this.options.clock.now();
+      const isCurrent = count === this.#source.count && reader === designatedReader;
+      if (isCurrent) this.#confirmedAt = this.options.clock.now();
       if (count <= this.#source.count) return;
-    } else if (reader !== rightful && this.#source.reader !== '') {
+    } else if (reader !== designatedReader && this.#source.reader !== '') {
       return;
     }
     this.#fetchFrom(from).catch(() => undefined);
   }
 
-  /** Answers a peer: with what changed since the list it has, or with the whole list. */
+  /** Answers a peer's fetch with the changes since the list it has, or with the whole list. */
   answerFetch(known: VmsRequest): VmsReply {
     const change = this.#findChange(known);
     const { put, removed } = change ?? { put: this.vms, removed: [] };
     return { ...this.#source, isWhole: change === undefined, vms: put.map(writeVm), removed };
   }
 
-  /** What leads from the list that a peer has to the present one; undefined when that is not known. */
-  #findChange(known: VmsRequest): VmChange | undefined {
+  /** Finds the change from a peer's list to the current one; undefined when it is not logged. */
+  #findChange(known: VmsRequest): VmListChange | undefined {
     if (known.reader !== this.#source.reader || known.count > this.#source.count) return undefined;
-    const later = this.#log.filter(({ count }) => count > known.count);
+    const later = this.#changeLog.filter(({ count }) => count > known.count);
     if (later.length !== this.#source.count - known.count) return undefined;
-    return joinVmChanges(later.map(({ change }) => change));
+    return mergeVmChanges(later.map(({ change }) => change));
   }
 
   #findReader(): string {
@@ -138,26 +144,28 @@
     if (address === undefined || this.#fetching) return;
     this.#fetching = true;
     const known = this.#source;
-    const result = await this.options.transport.connect(address).fetchVms(known, TIMEOUT);
+    const result = await this.options.transport.connect(address).fetchVms(known, FETCH_TIMEOUT_MS);
     this.#fetching = false;
-    result.ifRight((reply) => this.#takeReply(known, reply));
+    result.ifRight((reply) => this.#applyReply(known, reply));
   }
 
-  #takeReply(known: VmsSource, { reader, count, isWhole, vms, removed }: VmsReply): void {
-    // A change is against the list that was known when it was asked for.
+  #applyReply(known: VmsSource, { reader, count, isWhole, vms, removed }: VmsReply): void {
+    // A change is based on the list that this daemon had when it requested the change.
     if (!isWhole && known !== this.#source) return;
     if (reader === this.#source.reader && count <= this.#source.count) return;
     const put = vms.map(readVm).filter((vm) => vm !== undefined);
     const list = isWhole ? createVmList(put) : applyVmChange(this.#list, { put, removed });
-    this.#heardAt = this.options.clock.now();
-    this.#take(list, diffVmLists(this.#list, list), { reader, count });
+    this.#confirmedAt = this.options.clock.now();
+    this.#replaceList(list, diffVmLists(this.#list, list), { reader, count });
   }
 
-  #take(list: VmList, change: VmChange, source: VmsSource): void {
-    const follows =
+  #replaceList(list: VmList, change: VmListChange, source: VmsSource): void {
+    const isNextChange =
       source.reader === this.#source.reader && source.count === this.#source.count + 1;
-    const logged = { count: source.count, change };
-    this.#log = follows ? [...this.#log, logged].slice(-MAX_LOGGED) : [];
+    const loggedChange = { count: source.count, change };
+    this.#changeLog = isNextChange
+      ? [...this.#changeLog, loggedChange].slice(-MAX_LOGGED_CHANGES)
+      : [];
     this.#list = list;
     this.#source = source;
     if (!isEmptyChange(change)) this.options.onChange(this.vms);
--- a/test/balance.test.ts
+++ b/test/balance.test.ts
@@ -20,7 +20,7 @@
   parseRegion,
 } from '../src/balance/index.js';
 import type { ClassConfig } from '../src/config/index.js';
-import { LoadBoard } from '../src/spread/index.js';
+import { HomeLoadTable } from '../src/spread/index.js';
 import { InvariantError, ManualClock, createSeededRandom } from '../src/kernel/index.js';
 
 const NORMAL: ClassConfig = { name: 'normal', weight: 4, wait: 1000 };
@@ -372,7 +372,7 @@
   });
 
   it('are as many as the measured load needs: added at once, removed after a minute', () => {
-    const board = new LoadBoard();
+    const board = new HomeLoadTable();
     const report = (rate: number, now: number) =>
       board.add({ service: 's', entry: 'a', rate, age: 0 }, now);
     expect(board.countHomes('s', 0)).to.equal(1);
--- a/test/measure.test.ts
+++ b/test/measure.test.ts
@@ -1,19 +1,19 @@
-/** The measuring budget: one sum for the whole system, whatever fails. */
+/** The measuring budget: its total for the whole system holds under all faults. */
 import { expect } from 'chai';
 import { InvariantError, ManualClock } from '../src/kernel/index.js';
-import { GRANT_SPAN, MeasuringGrant, buildGrantKey } from '../src/measure/index.js';
+import { GRANT_DURATION_MS, MeasuringGrant, buildGrantKey } from '../src/measure/index.js';
 import { Store, createStorePlatform } from '../src/standin/index.js';
 
 const BUDGET = 2;
 const COST = 6;
 const SECONDS = 300;
 
-function open(store: Store, clock: ManualClock): MeasuringGrant {
+function openGrant(store: Store, clock: ManualClock): MeasuringGrant {
   const platform = createStorePlatform(store, clock);
   return new MeasuringGrant(buildGrantKey('ledger', 'main'), BUDGET, platform, clock);
 }
 
-/** Lets every daemon ask for as much as it can, for a while; returns what was spent. */
+/** Lets every daemon spend as much as it can for {@link SECONDS}; returns the total spent. */
 async function spendGreedily(
   clock: ManualClock,
   daemons: () => readonly MeasuringGrant[],
@@ -39,23 +39,26 @@
     store = new Store(clock);
   });
 
-  // One grant can lie at each end of the time that is looked at.
-  const ceiling = BUDGET * (SECONDS + GRANT_SPAN / 1000);
+  // A grant may reach beyond either end of the observed time, which adds up to one grant.
+  const maxSpent = BUDGET * (SECONDS + GRANT_DURATION_MS / 1000);
 
-  describe('is never overspent', () => {
+  describe('is never exceeded', () => {
     it('by seventeen daemons', async () => {
-      const daemons = Array.from({ length: 17 }, () => open(store, clock));
+      const daemons = Array.from({ length: 17 }, () => openGrant(store, clock));
       const spent = await spendGreedily(clock, () => daemons);
-      expect(spent).to.be.within(1, ceiling);
+      expect(spent).to.be.within(1, maxSpent);
     });
 
     it('by daemons that restart every second', async () => {
-      const spent = await spendGreedily(clock, () => [open(store, clock), open(store, clock)]);
-      expect(spent).to.be.within(1, ceiling);
+      const spent = await spendGreedily(clock, () => [
+        openGrant(store, clock),
+        openGrant(store, clock),
+      ]);
+      expect(spent).to.be.within(1, maxSpent);
     });
 
-    it('while the platform comes and goes', async () => {
-      const daemons = [open(store, clock), open(store, clock)];
+    it('while the platform is down at times', async () => {
+      const daemons = [openGrant(store, clock), openGrant(store, clock)];
       const spent = await spendGreedily(
         clock,
         () => daemons,
@@ -63,11 +66,11 @@
           store.setFault({ kind: second % 7 < 3 ? 'down' : 'none' });
         },
       );
-      expect(spent).to.be.within(1, ceiling);
+      expect(spent).to.be.within(1, maxSpent);
     });
 
-    it('while replies are lost', async () => {
-      const daemons = [open(store, clock), open(store, clock)];
+    it('while replies to writes are lost', async () => {
+      const daemons = [openGrant(store, clock), openGrant(store, clock)];
       const spent = await spendGreedily(
         clock,
         () => daemons,
@@ -75,14 +78,14 @@
           store.setFault({ kind: second % 5 === 0 ? 'lose-write-replies' : 'none' });
         },
       );
-      expect(spent).to.be.within(0, ceiling);
+      expect(spent).to.be.within(0, maxSpent);
     });
 
-    it('by a daemon that was paused past its grant', async () => {
-      const paused = open(store, clock);
+    it('by a daemon that was paused until after its grant ended', async () => {
+      const paused = openGrant(store, clock);
       expect(await paused.spend(COST)).to.equal(true);
-      await clock.advance(GRANT_SPAN * 2);
-      const other = open(store, clock);
+      await clock.advance(GRANT_DURATION_MS * 2);
+      const other = openGrant(store, clock);
       expect(await other.spend(COST)).to.equal(true);
       expect(await paused.spend(COST)).to.equal(false);
     });
@@ -90,11 +93,11 @@
 
   it('is not spent at all without the platform', async () => {
     store.setFault({ kind: 'down' });
-    expect(await open(store, clock).spend(COST)).to.equal(false);
+    expect(await openGrant(store, clock).spend(COST)).to.equal(false);
   });
 
-  it('stops the process when more was spent than granted', async () => {
-    const daemon = open(store, clock);
+  it('throws an InvariantError when more was spent than granted', async () => {
+    const daemon = openGrant(store, clock);
     await daemon.spend(COST);
     daemon.granted = 0;
     let caught: unknown;
--- a/test/member.test.ts
+++ b/test/member.test.ts
@@ -1,10 +1,15 @@
-/** Membership: joins, deaths, false suspicions, pauses, cuts, and its cost. */
+/** Membership: joins, crashes, false suspicions, pauses, partitions, and the cost per member. */
 import { expect } from 'chai';
 import { ManualClock, createSeededRandom, createSilentLog } from '../src/kernel/index.js';
-import { DEFAULT_TIMES, Membership, mergeMember, supersedes } from '../src/member/index.js';
+import {
+  DEFAULT_MEMBERSHIP_TIMES,
+  Membership,
+  mergeMember,
+  supersedes,
+} from '../src/member/index.js';
 import { type Knowledge, type Member, MemoryTransports } from '../src/peer/index.js';
 
-const NOTHING: Knowledge = { revision: 0, proofAge: Infinity, vmsReader: '', vmsCount: 0 };
+const NO_KNOWLEDGE: Knowledge = { revision: 0, proofAge: Infinity, vmsReader: '', vmsCount: 0 };
 
 interface Node {
   readonly name: string;
@@ -14,21 +19,21 @@
   readonly notices: string[];
 }
 
-/** Some memberships that share a manual clock and a transport. */
-class Group {
+/** Memberships that share a manual clock and an in-memory transport. */
+class TestFleet {
   readonly clock = new ManualClock();
 
   readonly transports = new MemoryTransports();
 
   readonly nodes: Node[] = [];
 
-  /** Nodes that are paused: their links carry nothing and their loop stands still. */
+  /** Addresses of nodes whose links are cut, as if the nodes were paused. */
   readonly paused = new Set<string>();
 
   cut: (from: string, to: string) => boolean = () => false;
 
   constructor() {
-    this.transports.cut = (from, to) =>
+    this.transports.isLinkCut = (from, to) =>
       this.paused.has(from) || this.paused.has(to) || this.cut(from, to);
   }
 
@@ -38,19 +43,23 @@
     const seeds = this.nodes.slice(0, 1).map((node) => node.peers);
     const membership = new Membership({
       ...{ transport, clock: this.clock, random: createSeededRandom(this.nodes.length + 1) },
-      ...{ log: createSilentLog(), times: DEFAULT_TIMES, readKnowledge: () => NOTHING },
+      ...{
+        log: createSilentLog(),
+        times: DEFAULT_MEMBERSHIP_TIMES,
+        readKnowledge: () => NO_KNOWLEDGE,
+      },
       self: { name, domain: 'hu/a', callers: peers, peers, relay: peers, admin: peers },
       onKnowledge: () => undefined,
       listLoads: () => [],
       onLoads: () => undefined,
       onChange: () => undefined,
-      onNotice: (target) => notices.push(target),
+      onTargetLeaving: (target) => notices.push(target),
       listSeeds: () => [...seeds, ...this.nodes.map((node) => node.peers)],
     });
     await transport.serve(
       { host: peers.split(':')[0] ?? '', port: 1 },
       {
-        exchange: async (request) => membership.answer(request),
+        exchange: async (request) => membership.answerExchange(request),
         probe: (address) => membership.probe(address),
         fetchConfig: async () => ({ manifest: '', texts: [], proofAge: 0 }),
         fetchVms: async () => ({ reader: '', count: 0, isWhole: true, vms: [], removed: [] }),
@@ -68,8 +77,8 @@
     await this.clock.advance(seconds * 1000);
   }
 
-  /** Names that each node that is not paused counts as live. */
-  views(): readonly string[] {
+  /** For each running node, the names that it lists as candidates. */
+  listViews(): readonly string[] {
     return this.nodes
       .filter(({ peers, stop }) => !this.paused.has(peers) && !stop.signal.aborted)
       .map(({ membership }) =>
@@ -82,8 +91,8 @@
   }
 }
 
-async function createGroup(size: number): Promise<Group> {
-  const group = new Group();
+async function createTestFleet(size: number): Promise<TestFleet> {
+  const group = new TestFleet();
   for (let index = 0; index < size; index += 1) await group.add(`n${index}`);
   await group.run(8);
   return group;
@@ -103,7 +112,7 @@
 }
 
 describe('membership', () => {
-  describe('reports', () => {
+  describe('merging of reports', () => {
     const ROWS = [
       { b: { state: 'suspect' }, a: { state: 'live' }, wins: true },
       { b: { state: 'live' }, a: { state: 'suspect' }, wins: false },
@@ -113,74 +122,74 @@
       { b: { state: 'stopping' }, a: { state: 'live' }, wins: true },
     ] as const;
     for (const { b, a, wins } of ROWS) {
-      it(`${JSON.stringify(b)} over ${JSON.stringify(a)}: ${wins}`, () => {
+      it(`${JSON.stringify(b)} supersedes ${JSON.stringify(a)}: ${wins}`, () => {
         expect(supersedes(createMember(b), createMember(a))).to.equal(wins);
       });
     }
 
-    it('that tell nothing new leave the roster as it is', () => {
+    it('returns the same roster for a report that it knows already', () => {
       const roster = mergeMember(new Map(), createMember({}), 0);
       expect(mergeMember(roster, createMember({}), 5)).to.equal(roster);
     });
   });
 
-  it('joins all of seventeen', async () => {
-    const group = await createGroup(17);
-    expect(new Set(group.views())).to.deep.equal(new Set([listNames(17)]));
+  it('makes seventeen members known to each other', async () => {
+    const group = await createTestFleet(17);
+    expect(new Set(group.listViews())).to.deep.equal(new Set([listNames(17)]));
   });
 
-  it('notices a crash within ten seconds, everywhere', async () => {
-    const group = await createGroup(9);
+  it('removes a crashed member everywhere within twelve seconds', async () => {
+    const group = await createTestFleet(9);
     const [, , , , , , , , last] = group.nodes;
     group.paused.add(last?.peers ?? '');
     await group.run(12);
-    expect(new Set(group.views())).to.deep.equal(new Set([listNames(8)]));
+    expect(new Set(group.listViews())).to.deep.equal(new Set([listNames(8)]));
   });
 
-  it('takes back a member that was paused for thirty seconds', async () => {
-    const group = await createGroup(5);
+  it('readmits a member that was paused for thirty seconds', async () => {
+    const group = await createTestFleet(5);
     const [, paused] = group.nodes;
     group.paused.add(paused?.peers ?? '');
     await group.run(30);
-    expect(new Set(group.views())).to.deep.equal(new Set(['n0 n2 n3 n4']));
+    expect(new Set(group.listViews())).to.deep.equal(new Set(['n0 n2 n3 n4']));
     group.paused.clear();
     await group.run(30);
-    expect(new Set(group.views())).to.deep.equal(new Set([listNames(5)]));
+    expect(new Set(group.listViews())).to.deep.equal(new Set([listNames(5)]));
   });
 
-  it('does not lose a member that only one other cannot reach', async () => {
-    const group = await createGroup(5);
+  it('keeps a member that only one other member cannot reach', async () => {
+    const group = await createTestFleet(5);
     const [first, second] = group.nodes;
     group.cut = (from, to) =>
       (from === first?.peers && to === second?.peers) ||
       (from === second?.peers && to === first?.peers);
     await group.run(30);
-    expect(new Set(group.views())).to.deep.equal(new Set([listNames(5)]));
+    expect(new Set(group.listViews())).to.deep.equal(new Set([listNames(5)]));
   });
 
-  it('goes on in both halves of a cut, and heals', async () => {
-    const group = await createGroup(6);
+  it('works in both halves of a partition, and merges them when it heals', async () => {
+    const group = await createTestFleet(6);
     const half = new Set(group.nodes.slice(0, 3).map(({ peers }) => peers));
     group.cut = (from, to) => half.has(from) !== half.has(to);
     await group.run(40);
-    expect(new Set(group.views())).to.deep.equal(new Set(['n0 n1 n2', 'n3 n4 n5']));
+    expect(new Set(group.listViews())).to.deep.equal(new Set(['n0 n1 n2', 'n3 n4 n5']));
     group.cut = () => false;
     await group.run(60);
-    expect(new Set(group.views())).to.deep.equal(new Set([listNames(6)]));
+    expect(new Set(group.listViews())).to.deep.equal(new Set([listNames(6)]));
   });
 
-  it('heals after an hour apart', async () => {
-    const group = await createGroup(4);
+  it('merges the halves after a partition of one hour', async () => {
+    const group = await createTestFleet(4);
     const half = new Set(group.nodes.slice(0, 2).map(({ peers }) => peers));
     group.cut = (from, to) => half.has(from) !== half.has(to);
     await group.run(3600);
     group.cut = () => false;
     await group.run(60);
-    expect(new Set(group.views())).to.deep.equal(new Set([listNames(4)]));
+    expect(new Set(group.listViews())).to.deep.equal(new Set([listNames(4)]));
   }).timeout(60_000);
 
-  it('knows a restart under the same address as a new member', async () => {
-    const group = await createGroup(3);
+  it('treats a restart under the same address as a new member', async () => {
+    const group = await createTestFleet(3);
     const [, , old] = group.nodes;
     old?.stop.abort();
     await group.add('n2', old?.peers);
@@ -190,8 +199,8 @@
     expect(names?.sort()).to.deep.equal(['n0', 'n1', 'n2']);
   });
 
-  it('tells all at once that one is stopping', async () => {
-    const group = await createGroup(9);
+  it('announces to all members at once that one is stopping', async () => {
+    const group = await createTestFleet(9);
     const [, stopping] = group.nodes;
     await stopping?.membership.announceStopping();
     const others = group.nodes.filter((node) => node !== stopping);
@@ -200,17 +209,17 @@
     }
   });
 
-  it('tells all within two seconds that a target is leaving', async () => {
-    const group = await createGroup(17);
-    group.nodes[3]?.membership.announceLeaving('10.1.1.1:80');
+  it('announces to all members within two seconds that a target is leaving', async () => {
+    const group = await createTestFleet(17);
+    group.nodes[3]?.membership.announceTargetLeaving('10.1.1.1:80');
     await group.run(2);
     const told = group.nodes.filter(({ notices }) => notices.includes('10.1.1.1:80'));
     expect(told).to.have.length(16);
   });
 
-  it('costs each member the same in a fleet of eight and of thirty-two', async () => {
+  it('sends as many messages per member in a fleet of eight as in one of thirty-two', async () => {
     const measure = async (size: number) => {
-      const group = await createGroup(size);
+      const group = await createTestFleet(size);
       const before = group.transports.messages;
       await group.run(30);
       return (group.transports.messages - before) / size / 30;
