--- a/src/entry/call-handler.ts
+++ b/src/entry/call-handler.ts
@@ -12,16 +12,16 @@
   type CallEnd,
   Forwarder,
   type Outcome,
-  STOPPING,
+  STOPPING_REASON,
   createNotRun,
   createUnknown,
   findClass,
-  inviteBody,
+  sendContinue,
   isBufferable,
   readCall,
   readCallId,
-  readWhole,
-  viewCall,
+  readBody,
+  createCallView,
   writeOutcome,
 } from '../proxy/index.js';
 import type { Clients } from './clients.js';
@@ -46,11 +46,11 @@
   readonly isConfigured: () => boolean;
   /** Milliseconds since the configuration was last shown to be current. */
   readonly readProofAge: () => number;
-  readonly onLeaving: (target: string) => void;
+  readonly onTargetLeaving: (target: string) => void;
 }
 
 /** A call on its way through the handler. */
-interface Passage {
+interface CallContext {
   readonly runtime: ServiceRuntime;
   readonly call: Call;
   readonly request: IncomingMessage;
@@ -60,39 +60,39 @@
   readonly relayed: boolean;
 }
 
-const BUFFER_LIMIT = 64 * 1024 * 1024;
-const BUSY_RETRY = 1000;
+const MAX_TOTAL_BUFFERED_BYTES = 64 * 1024 * 1024;
+const RETRY_AFTER_MS = 1000;
 
 /** Serves calls. */
 export class CallHandler {
   #active = 0;
 
-  readonly #buffers = new BufferBudget(BUFFER_LIMIT);
+  readonly #buffers = new BufferBudget(MAX_TOTAL_BUFFERED_BYTES);
 
-  readonly #endings = new Set<AbortController>();
+  readonly #abortControllers = new Set<AbortController>();
 
   constructor(private readonly options: CallHandlerOptions) {}
 
   /** Calls being served now. */
-  get active(): number {
+  get activeCalls(): number {
     return this.#active;
   }
 
   /** Ends all calls in flight; each is told truthfully, or its connection is cut. */
   abortAll(): void {
-    for (const ending of this.#endings) ending.abort(STOPPING);
+    for (const controller of this.#abortControllers) controller.abort(STOPPING_REASON);
   }
 
   /** Serves one request. */
   serve(request: IncomingMessage, response: ServerResponse, relayed: boolean): void {
     const id = readCallId(request, this.options.random);
-    const gone = new AbortController();
+    const controller = new AbortController();
     response.on('close', () => {
-      if (!response.writableFinished) gone.abort();
+      if (!response.writableFinished) controller.abort();
     });
     this.#active += 1;
-    this.#endings.add(gone);
-    this.#serve(request, response, { id, relayed, signal: gone.signal })
+    this.#abortControllers.add(controller);
+    this.#serveRequest(request, response, { id, relayed, signal: controller.signal })
       .catch((error: Error) => {
         // A broken invariant must not go on serving.
         this.options.log.error('call.broken', { call: id, error: error.stack ?? error.message });
@@ -101,13 +101,13 @@
       })
       .finally(() => {
         this.#active -= 1;
-        this.#endings.delete(gone);
+        this.#abortControllers.delete(controller);
         // The rest of a body that nobody wants is read and dropped, so that the answer arrives.
         if (!request.complete && !request.destroyed) request.resume();
       });
   }
 
-  async #serve(
+  async #serveRequest(
     request: IncomingMessage,
     response: ServerResponse,
     {
@@ -120,66 +120,66 @@
       this.options.metrics.count('call', 1, { end: outcome.kind, reason: outcome.reason });
       this.#writeOutcome(response, id, outcome);
     };
-    const found = this.#findRuntime(request);
-    if ('kind' in found) {
-      refuse(found);
+    const runtime = this.#findRuntime(request);
+    if ('kind' in runtime) {
+      refuse(runtime);
       return;
     }
-    const { service } = found;
+    const { service } = runtime;
     const now = this.options.clock.now();
-    const read = readCall(request, { service, id, now });
-    if (read.isLeft()) {
-      refuse(read.swap().unsafeCoerce());
+    const parsed = readCall(request, { service, id, now });
+    if (parsed.isLeft()) {
+      refuse(parsed.swap().unsafeCoerce());
       return;
     }
-    const call = read.unsafeCoerce();
-    found.rate.add(now);
-    const passage = { runtime: found, call, request, response, signal, relayed };
-    const end = await this.#pass(passage);
-    this.#conclude(passage, end);
+    const call = parsed.unsafeCoerce();
+    runtime.rate.add(now);
+    const context = { runtime, call, request, response, signal, relayed };
+    const end = await this.#handleCall(context);
+    this.#finishCall(context, end);
   }
 
   #findRuntime(request: IncomingMessage): ServiceRuntime | Outcome {
     const { options } = this;
     if (this.#active > options.maxCalls) {
-      return createNotRun('too-many-calls', 'this entry holds its most calls', BUSY_RETRY);
+      return createNotRun('too-many-calls', 'this entry holds its most calls', RETRY_AFTER_MS);
     }
     if (!options.isConfigured()) {
-      return createNotRun('no-configuration', 'no configuration is known here yet', BUSY_RETRY);
+      return createNotRun('no-configuration', 'no configuration is known here yet', RETRY_AFTER_MS);
     }
     const path = (request.url ?? '/').split('?', 1)[0] ?? '/';
     const runtime = options.table.find(request.headers.host ?? '', path);
     if (runtime === undefined) {
       return createNotRun('unknown-service', 'no service has this host and path');
     }
-    return this.#checkCurrency(runtime.service) ?? runtime;
+    return this.#checkFreshness(runtime.service) ?? runtime;
   }
 
-  #checkCurrency(service: Service): Outcome | undefined {
+  #checkFreshness(service: Service): Outcome | undefined {
     if (service.when_stale === 'serve') return undefined;
     if (this.options.readProofAge() <= service.stale_after) return undefined;
     const detail = 'this entry cannot show that its configuration is current';
-    return createNotRun('configuration-not-current', detail, BUSY_RETRY);
+    return createNotRun('configuration-not-current', detail, RETRY_AFTER_MS);
   }
 
-  async #pass(passage: Passage): Promise<CallEnd> {
-    const home = this.#findOtherHome(passage);
+  async #handleCall(context: CallContext): Promise<CallEnd> {
+    const home = this.#chooseOtherHome(context);
     if (home !== undefined) {
       const { clients, clock, relaySecret: secret } = this.options;
-      passage.runtime.counts.relayed += 1;
-      const end = await relayCall(passage, home, { clients, clock, secret });
+      context.runtime.counts.relayed += 1;
+      const end = await relayCall(context, home, { clients, clock, secret });
       if (end !== 'not-reached') return end;
     }
-    const ruling = this.#rule(passage);
+    const ruling = this.#applyPolicies(context);
     if (ruling.refusal !== undefined) {
-      return { kind: 'told', outcome: createNotRun('policy', ruling.refusal, BUSY_RETRY) };
+      return { kind: 'told', outcome: createNotRun('policy', ruling.refusal, RETRY_AFTER_MS) };
     }
-    const body = await this.#readBody(passage);
+    const body = await this.#readBody(context);
     if (body === undefined) return { kind: 'gone' };
     try {
-      return await this.#runOnce(passage, ruling, body);
+      return await this.#runAtMostOnce(context, ruling, body);
     } finally {
-      if (body.kind === 'buffered') this.#buffers.give(body.data.length);
+      if (body.kind === 'buffered') this.#buffers.release(body.data.length);
     }
   }
 
@@ -187,24 +187,24 @@
    * Returns the home that serves the call, unless this entry should do so itself. A home whose calls
    * wait shares them with the other homes: callers may still know it as the only one.
    */
-  #findOtherHome({ runtime, relayed }: Passage): Member | undefined {
+  #chooseOtherHome({ runtime, relayed }: CallContext): Member | undefined {
     const { isHome, sharesTargets, plan } = runtime.placement;
-    if (relayed || (isHome && !(sharesTargets && this.#isWaiting(runtime)))) return undefined;
+    if (relayed || (isHome && !(sharesTargets && this.#hasWaitingCalls(runtime)))) return undefined;
     const homes = plan.homes.filter(({ state }) => state === 'live');
     const chosen = homes[Math.floor(this.options.random.next() * homes.length)];
     return chosen?.id === this.options.selfId() ? undefined : chosen;
   }
 
-  #isWaiting(runtime: ServiceRuntime): boolean {
+  #hasWaitingCalls(runtime: ServiceRuntime): boolean {
     if (runtime.placement.plan.homes.length < 2) return false;
     return this.#findPool(runtime, undefined).pool.waiting > 0;
   }
 
-  #rule({ runtime, call, request }: Passage): Ruling {
+  #applyPolicies({ runtime, call, request }: CallContext): Ruling {
     const { policies } = runtime.service;
     if (policies.length === 0) return PASSING;
     const pool = this.#findPool(runtime, undefined).pool.readLoad();
-    const view = { call: viewCall(call, request, this.options.clock.now()), pool };
+    const view = { call: createCallView(call, request, this.options.clock.now()), pool };
     const ruling = applyPolicies(policies, view);
     for (const name of ruling.failures) {
       runtime.counts.policyFailures += 1;
@@ -222,23 +222,24 @@
   }
 
   /** Reads a short body whole; undefined when the caller ended it early. */
-  async #readBody({ call, request, response }: Passage): Promise<Body | undefined> {
-    if (call.bytes === 0) return { kind: 'none' };
-    if (!isBufferable(call) || !this.#buffers.take(call.bytes)) return { kind: 'stream', request };
-    inviteBody(request, response);
+  async #readBody({ call, request, response }: CallContext): Promise<Body | undefined> {
+    if (call.bodyLength === 0) return { kind: 'none' };
+    if (!isBufferable(call) || !this.#buffers.take(call.bodyLength))
+      return { kind: 'stream', request };
+    sendContinue(request, response);
     try {
-      return { kind: 'buffered', data: await readWhole(request) };
+      return { kind: 'buffered', data: await readBody(request) };
     } catch {
-      this.#buffers.give(call.bytes);
+      this.#buffers.release(call.bodyLength);
       return undefined;
     }
   }
 
   /** Claims the idempotency key of a call that may not be repeated, then runs the call. */
-  async #runOnce(passage: Passage, ruling: Ruling, body: Body): Promise<CallEnd> {
-    const { runtime, call } = passage;
+  async #runAtMostOnce(context: CallContext, ruling: Ruling, body: Body): Promise<CallEnd> {
+    const { runtime, call } = context;
     if (call.repeatable || call.idempotencyKey === undefined) {
-      return this.#forward(passage, ruling, body);
+      return this.#forward(context, ruling, body);
     }
     const claim = await this.options.claims.claim({
       service: runtime.service.name,
@@ -249,9 +250,9 @@
     });
     switch (claim.kind) {
       case 'claimed': {
-        const end = await this.#forward(passage, ruling, body);
-        const freed = end.kind === 'told' && end.outcome.kind === 'not-run';
-        if (freed) await claim.release();
+        const end = await this.#forward(context, ruling, body);
+        const notRun = end.kind === 'told' && end.outcome.kind === 'not-run';
+        if (notRun) await claim.release();
         return end;
       }
       case 'duplicate': {
@@ -264,15 +265,15 @@
       }
       case 'unproven': {
         const detail = `it cannot be shown that the call runs at most once: ${claim.reason}`;
-        return { kind: 'told', outcome: createNotRun('claim-unproven', detail, BUSY_RETRY) };
+        return { kind: 'told', outcome: createNotRun('claim-unproven', detail, RETRY_AFTER_MS) };
       }
       default:
         return claim satisfies never;
     }
   }
 
-  async #forward(passage: Passage, ruling: Ruling, body: Body): Promise<CallEnd> {
-    const { runtime, call, request, response, signal } = passage;
+  async #forward(context: CallContext, ruling: Ruling, body: Body): Promise<CallEnd> {
+    const { runtime, call, request, response, signal } = context;
     const { clients, clock, metrics } = this.options;
     const pool = this.#findPool(runtime, ruling.pool);
     const connections = pool.countConnections(runtime.placement.plan.homes.length);
@@ -281,11 +282,11 @@
         pool: pool.pool,
         class: findClass(runtime.service, ruling.class ?? call.className),
         hold: ruling.hold,
-        retries: runtime.retries,
-        hedges: runtime.hedges,
-        clientOf: (target) => clients.find(target.address, connections),
+        retryBudget: runtime.retryBudget,
+        hedgeBudget: runtime.hedgeBudget,
+        findClient: (target) => clients.find(target.address, connections),
         clock,
-        onLeaving: this.options.onLeaving,
+        onTargetLeaving: this.options.onTargetLeaving,
       },
       { call, body, request, response, signal },
     );
@@ -298,19 +299,19 @@
     return end;
   }
 
-  #conclude(passage: Passage, end: CallEnd): void {
-    const { runtime, call, response } = passage;
+  #finishCall(context: CallContext, end: CallEnd): void {
+    const { runtime, call, response } = context;
     if (end.kind === 'told') this.#writeOutcome(response, call.id, end.outcome);
-    this.#count(runtime, end);
+    this.#countEnd(runtime, end);
     const { metrics, clock } = this.options;
-    const took = clock.now() - call.receivedAt;
+    const elapsed = clock.now() - call.receivedAt;
     const name = end.kind === 'told' ? end.outcome.kind : end.kind;
     metrics.count('call', 1, { service: runtime.service.name, end: name });
-    metrics.time('call.time', took, { service: runtime.service.name });
-    this.#log(passage, end, took);
+    metrics.time('call.time', elapsed, { service: runtime.service.name });
+    this.#logEnd(context, end, elapsed);
   }
 
-  #count({ counts }: ServiceRuntime, end: CallEnd): void {
+  #countEnd({ counts }: ServiceRuntime, end: CallEnd): void {
     switch (end.kind) {
       case 'answered':
         counts.answered += 1;
@@ -330,13 +331,13 @@
     }
   }
 
-  #log({ runtime, call }: Passage, end: CallEnd, took: number): void {
+  #logEnd({ runtime, call }: CallContext, end: CallEnd, elapsed: number): void {
     const { logCalls, log } = this.options;
     if (logCalls === 'none' || (logCalls === 'failed' && end.kind === 'answered')) return;
-    const told = end.kind === 'told' ? end.outcome : undefined;
+    const outcome = end.kind === 'told' ? end.outcome : undefined;
     log.info('call.end', {
       ...{ call: call.id, service: runtime.service.name, method: call.method, path: call.path },
-      ...{ end: told?.kind ?? end.kind, reason: told?.reason, took: Math.round(took) },
+      ...{ end: outcome?.kind ?? end.kind, reason: outcome?.reason, took: Math.round(elapsed) },
       status: end.kind === 'answered' ? end.status : undefined,
       target: 'target' in end ? end.target : undefined,
     });
--- a/src/entry/clients.ts
+++ b/src/entry/clients.ts
@@ -3,31 +3,31 @@
 import { type Address, type Network, formatAddress } from '../kernel/index.js';
 import { createConnector } from '../platform/index.js';
 
-const CONNECT_TIMEOUT = 1000;
-const IDLE_TIMEOUT = 4000;
+const CONNECT_TIMEOUT_MS = 1000;
+const IDLE_TIMEOUT_MS = 4000;
 
 /** Opens and closes the connections of this daemon. */
 export class Clients {
   readonly #pools = new Map<string, Pool>();
 
   /** Connections opened since the start. */
-  opened = 0;
+  connectionsOpened = 0;
 
   constructor(private readonly network: Network) {}
 
   /** Returns the connections to an address, at most `connections` at once. */
   find(address: Address, connections: number): Dispatcher {
     const name = formatAddress(address);
-    const known = this.#pools.get(name);
-    if (known !== undefined) return known;
+    const existing = this.#pools.get(name);
+    if (existing !== undefined) return existing;
     const pool = new Pool(`http://${name}`, {
-      connect: createConnector(this.network, address, CONNECT_TIMEOUT, () => {
-        this.opened += 1;
+      connect: createConnector(this.network, address, CONNECT_TIMEOUT_MS, () => {
+        this.connectionsOpened += 1;
       }),
       connections,
       pipelining: 1,
-      keepAliveTimeout: IDLE_TIMEOUT,
-      keepAliveMaxTimeout: IDLE_TIMEOUT,
+      keepAliveTimeout: IDLE_TIMEOUT_MS,
+      keepAliveMaxTimeout: IDLE_TIMEOUT_MS,
     });
     this.#pools.set(name, pool);
     return pool;
--- a/src/entry/discovery.ts
+++ b/src/entry/discovery.ts
@@ -23,22 +23,22 @@
   readonly entries: readonly EntryChoice[];
 }
 
-const ALTERNATES = 2;
+const MAX_ALTERNATES = 2;
 
 /** Answers for a service. Suspected entries come last; entries that are stopping are left out. */
 export function answerDiscovery(runtime: ServiceRuntime, ttl: number): EntryAnswer {
   const { region, plan } = runtime.placement;
-  const choose = (role: EntryChoice['role'], weight: number) => (member: Member) => ({
+  const createCandidate = (role: EntryChoice['role'], weight: number) => (member: Member) => ({
     ...{ address: member.callers, domain: member.domain, role, weight },
     suspect: member.state === 'suspect',
   });
-  const choices = [
-    ...plan.homes.map(choose('home', 1 / plan.homes.length)),
-    ...plan.alternates.slice(0, ALTERNATES).map(choose('alternate', 0)),
+  const candidates = [
+    ...plan.homes.map(createCandidate('home', 1 / plan.homes.length)),
+    ...plan.alternates.slice(0, MAX_ALTERNATES).map(createCandidate('alternate', 0)),
   ];
   const ordered = [
-    ...choices.filter(({ suspect }) => !suspect),
-    ...choices.filter(({ suspect }) => suspect),
+    ...candidates.filter(({ suspect }) => !suspect),
+    ...candidates.filter(({ suspect }) => suspect),
   ];
   return {
     ...{ service: runtime.service.name, region, ttl },
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -36,7 +36,7 @@
 } from '../spread/index.js';
 import { CallHandler } from './call-handler.js';
 import { Clients } from './clients.js';
-import { type Front, startFront } from './front.js';
+import { type EntryListeners, startListeners } from './listeners.js';
 import { Prober } from './prober.js';
 import { ServiceTable } from './service-table.js';
 import { type EntryStatus, describeService } from './status.js';
@@ -49,14 +49,14 @@
   readonly callersKeys?: KeyPair;
 }
 
-const STOP_CHECK = 20;
-const REFRESH_DELAY = 20;
-const STOP_PUSHES = 50;
-const READY_WAIT = 3000;
+const POLL_INTERVAL_MS = 20;
+const REFRESH_DELAY_MS = 20;
+const FINAL_FLUSH_MS = 50;
+const MAX_READY_WAIT_MS = 3000;
 const ENTRY_ROLE = 'entry';
 
 /** Processor time of this process since its start, in milliseconds. */
-function readCpu(): number {
+function readCpuTime(): number {
   const { user, system } = process.cpuUsage();
   return (user + system) / 1000;
 }
@@ -71,7 +71,7 @@
 
   readonly #claims: Claims;
 
-  readonly #running = new AbortController();
+  readonly #stopController = new AbortController();
 
   /** Reads and writes the configuration; the administration interface uses it too. */
   readonly store: ConfigStore;
@@ -80,7 +80,7 @@
 
   #follower: ConfigFollower | undefined;
 
-  #vms: VmsFollower | undefined;
+  #vmsFollower: VmsFollower | undefined;
 
   #table: ServiceTable | undefined;
 
@@ -88,11 +88,11 @@
 
   #handler: CallHandler | undefined;
 
-  #front: Front | undefined;
+  #listeners: EntryListeners | undefined;
 
   #peers: PeerServer | undefined;
 
-  #refreshing = false;
+  #isRefreshScheduled = false;
 
   readonly #loads = new LoadBoard();
 
@@ -137,8 +137,8 @@
 
   /** Where callers connect; only after {@link start}. */
   get callersAddress(): Address {
-    assertInvariant(this.#front !== undefined, 'the entry was started');
-    return this.#front.callers.address;
+    assertInvariant(this.#listeners !== undefined, 'the entry was started');
+    return this.#listeners.callers.address;
   }
 
   /** Starts listening, joins the other entries, and begins to follow the configuration. */
@@ -150,13 +150,13 @@
     const transport = kernel.find(peerTransportService);
     const shared = { clock, random, log, transport };
 
-    this.#peers = await transport.serve(settings.entry.peers, this.#createHandlers());
-    this.#front = await startFront(kernel, settings, {
+    this.#peers = await transport.serve(settings.entry.peers, this.#createPeerHandlers());
+    this.#listeners = await startListeners(kernel, settings, {
       serveCall: (request, response, relayed) => this.#handler?.serve(request, response, relayed),
       findService: (name) => this.#table?.findByName(name),
       keys: this.options.callersKeys,
     });
-    const { callers, relay } = this.#front;
+    const { callers, relay } = this.#listeners;
 
     const listCandidates = () => this.membership.listCandidates();
     const selfId = () => this.membership.self.id;
@@ -172,18 +172,18 @@
       },
       times: this.options.membershipTimes ?? DEFAULT_TIMES,
       readKnowledge: () => this.#readKnowledge(),
-      onKnowledge: (from, knowledge) => this.#hearKnowledge(from, knowledge),
+      onKnowledge: (from, knowledge) => this.#receiveKnowledge(from, knowledge),
       listLoads: () => this.#listLoads(),
-      onLoads: (loads) => this.#hearLoads(loads),
-      onChange: () => this.#refreshSoon(),
-      onNotice: (target) => this.#table?.noteLeaving(target),
+      onLoads: (loads) => this.#receiveLoads(loads),
+      onChange: () => this.#scheduleRefresh(),
+      onNotice: (target) => this.#table?.recordLeavingTarget(target),
       listSeeds: () => this.#listSeeds(),
     });
     this.#table = new ServiceTable({
       ...{ strategy: this.options.strategy ?? 'fresh', clock, random },
       ...{ domain: settings.entry.failure_domain, selfId, listCandidates },
-      onDropped: (address) => this.#clients.release(address),
-      countNeeded: (service) => this.#loads.countHomes(service, clock.now()),
+      onTargetRemoved: (address) => this.#clients.release(address),
+      countNeededHomes: (service) => this.#loads.countHomes(service, clock.now()),
     });
     this.#follower = new ConfigFollower({
       ...shared,
@@ -194,7 +194,7 @@
         this.membership.push();
       },
     });
-    this.#vms = new VmsFollower({
+    this.#vmsFollower = new VmsFollower({
       ...shared,
       ...{ platform: this.#platform, listCandidates, selfId },
       onChange: (vms) => {
@@ -202,12 +202,12 @@
         this.membership.push();
       },
     });
-    this.#handler = this.#createHandler();
+    this.#handler = this.#createCallHandler();
     this.#prober = new Prober({
       ...{ table: this.#table, clients: this.#clients, platform: this.#platform },
       ...{ clock, log, metrics: kernel.find(metricsService) },
     });
-    await this.#begin();
+    await this.#startTasks();
     log.info('entry.started', {
       ...{ name: settings.entry.name, callers: formatAddress(callers.address) },
       ...{
@@ -225,34 +225,37 @@
     const clock = this.kernel.find(clockService);
     const log = this.kernel.find(logService);
     const limit = clock.now() + grace;
-    log.info('entry.stopping', { name: this.settings.entry.name, active: this.#active() });
+    log.info('entry.stopping', {
+      name: this.settings.entry.name,
+      active: this.#countActiveCalls(),
+    });
     await this.membership.announceStopping();
     await clock.sleep(Math.min(this.settings.limits.answer_ttl, grace), signal);
-    await this.#front?.callers.drain();
+    await this.#listeners?.callers.drain();
     await this.#waitIdle(limit, signal);
     // Peers hand calls over until they have heard that this entry stops; by now all have.
-    await this.#front?.relay.drain();
+    await this.#listeners?.relay.drain();
     await this.#waitIdle(limit, signal);
-    const left = this.#active();
+    const abortedCalls = this.#countActiveCalls();
     this.#handler?.abortAll();
-    await clock.sleep(STOP_PUSHES);
+    await clock.sleep(FINAL_FLUSH_MS);
     await this.membership.announceGone();
     this.destroy();
-    log.info('entry.stopped', { name: this.settings.entry.name, ended: left });
+    log.info('entry.stopped', { name: this.settings.entry.name, ended: abortedCalls });
   }
 
   /** Ends at once, as a crash would. */
   destroy(): void {
-    this.#running.abort();
-    this.#front?.callers.destroy();
-    this.#front?.relay.destroy();
+    this.#stopController.abort();
+    this.#listeners?.callers.destroy();
+    this.#listeners?.relay.destroy();
     this.#peers?.close();
     this.#clients.destroy();
   }
 
   /** Replaces the certificate for callers without a restart. */
   replaceCallersKeys(keys: KeyPair): void {
-    this.#front?.callers.replaceKeys(keys);
+    this.#listeners?.callers.replaceKeys(keys);
   }
 
   /** Takes a manifest that the administration interface accepted at time `at`. */
@@ -271,14 +274,14 @@
       revision: configuration.revision,
       proofAge: Number.isFinite(proofAge) ? Math.round(proofAge) : null,
       configFault: fault,
-      active: this.#active(),
-      connections: this.#front?.callers.countConnections() ?? 0,
-      connectionsOpened: this.#clients.opened,
+      active: this.#countActiveCalls(),
+      connections: this.#listeners?.callers.countConnections() ?? 0,
+      connectionsOpened: this.#clients.connectionsOpened,
       memory: process.memoryUsage.rss(),
       members: this.membership.listAll(),
       platform: this.#platform.counts(),
       claimCalls: this.#claimPlatform.counts(),
-      cpu: readCpu(),
+      cpu: readCpuTime(),
       traffic: this.kernel.find(peerTransportService).traffic(),
       claims: { ...this.#claims.counts },
       services: this.table
@@ -294,11 +297,11 @@
   }
 
   /** Places the services again once for all the changes of a moment. */
-  #refreshSoon(): void {
-    if (this.#refreshing) return;
-    this.#refreshing = true;
-    this.kernel.find(clockService).schedule(REFRESH_DELAY, () => {
-      this.#refreshing = false;
+  #scheduleRefresh(): void {
+    if (this.#isRefreshScheduled) return;
+    this.#isRefreshScheduled = true;
+    this.kernel.find(clockService).schedule(REFRESH_DELAY_MS, () => {
+      this.#isRefreshScheduled = false;
       this.#table?.refresh();
     });
   }
@@ -306,39 +309,39 @@
   /** Waits until no call is in flight, or until `limit` on the clock, or until the signal aborts. */
   async #waitIdle(limit: number, signal: AbortSignal | undefined): Promise<void> {
     const clock = this.kernel.find(clockService);
-    while (this.#active() > 0 && clock.now() < limit && signal?.aborted !== true) {
-      await clock.sleep(STOP_CHECK, signal);
+    while (this.#countActiveCalls() > 0 && clock.now() < limit && signal?.aborted !== true) {
+      await clock.sleep(POLL_INTERVAL_MS, signal);
     }
   }
 
-  #active(): number {
-    return this.#handler?.active ?? 0;
+  #countActiveCalls(): number {
+    return this.#handler?.activeCalls ?? 0;
   }
 
-  async #begin(): Promise<void> {
-    const { signal } = this.#running;
+  async #startTasks(): Promise<void> {
+    const { signal } = this.#stopController;
     const clock = this.kernel.find(clockService);
-    await this.#vms?.readPlatform();
+    await this.#vmsFollower?.readPlatform();
     await this.membership.join();
     const tasks = [
       this.membership.run(signal),
       this.follower.run(signal),
-      this.#vms?.run(signal),
+      this.#vmsFollower?.run(signal),
       this.#prober?.run(signal),
     ];
-    for (const task of tasks) task?.catch((error: Error) => this.#fail(error));
-    const limit = clock.now() + READY_WAIT;
-    while (!this.follower.isKnown && clock.now() < limit) await clock.sleep(STOP_CHECK);
+    for (const task of tasks) task?.catch((error: Error) => this.#failProcess(error));
+    const limit = clock.now() + MAX_READY_WAIT_MS;
+    while (!this.follower.isKnown && clock.now() < limit) await clock.sleep(POLL_INTERVAL_MS);
   }
 
   /** A task that ends with an error met a broken invariant: the process must not go on. */
-  #fail(error: Error): void {
+  #failProcess(error: Error): void {
     const text = error.stack ?? error.message;
     this.kernel.find(logService).error('entry.broken', { error: text });
     throw error;
   }
 
-  #createHandler(): CallHandler {
+  #createCallHandler(): CallHandler {
     const { settings, kernel } = this;
     return new CallHandler({
       ...{ table: this.table, clients: this.#clients, claims: this.#claims },
@@ -349,16 +352,16 @@
       selfId: () => this.membership.self.id,
       isConfigured: () => this.follower.isKnown,
       readProofAge: () => this.follower.proofAge,
-      onLeaving: (target) => this.membership.announceLeaving(target),
+      onTargetLeaving: (target) => this.membership.announceLeaving(target),
     });
   }
 
-  #createHandlers(): PeerHandlers {
+  #createPeerHandlers(): PeerHandlers {
     return {
       exchange: async (request): Promise<ExchangeMessage> => this.membership.answer(request),
       probe: (peers) => this.membership.probe(peers),
       fetchConfig: async (known) => this.follower.answerFetch(known),
-      fetchVms: async (known) => (this.#vms as VmsFollower).answerFetch(known),
+      fetchVms: async (known) => (this.#vmsFollower as VmsFollower).answerFetch(known),
     };
   }
 
@@ -369,18 +372,18 @@
       this.#loads.add({ ...busy, entry, age: 0 }, now);
     }
     const loads = this.#loads.list(now);
-    if (loads.length > 0 || this.#loads.isHolding()) this.#refreshSoon();
+    if (loads.length > 0 || this.#loads.isHolding()) this.#scheduleRefresh();
     return loads;
   }
 
-  #hearLoads(loads: readonly LoadMessage[]): void {
+  #receiveLoads(loads: readonly LoadMessage[]): void {
     const now = this.kernel.find(clockService).now();
     for (const load of loads) this.#loads.add(load, now);
-    this.#refreshSoon();
+    this.#scheduleRefresh();
   }
 
   #readKnowledge(): Knowledge {
-    const source = this.#vms?.source;
+    const source = this.#vmsFollower?.source;
     return {
       revision: this.#follower?.configuration.revision ?? 0,
       proofAge: this.#follower?.proofAge ?? Infinity,
@@ -389,13 +392,13 @@
     };
   }
 
-  #hearKnowledge(from: Member, knowledge: Knowledge): void {
+  #receiveKnowledge(from: Member, knowledge: Knowledge): void {
     this.#follower?.hearKnowledge(from, knowledge.revision, knowledge.proofAge);
-    this.#vms?.hearKnowledge(from, knowledge.vmsReader, knowledge.vmsCount);
+    this.#vmsFollower?.hearKnowledge(from, knowledge.vmsReader, knowledge.vmsCount);
   }
 
   #listSeeds(): readonly string[] {
-    const listed = (this.#vms?.vms ?? [])
+    const listed = (this.#vmsFollower?.vms ?? [])
       .filter(({ role, state }) => role === ENTRY_ROLE && state === 'live')
       .map(({ address }) => formatAddress(address));
     const configured = this.settings.entry.seeds.map(formatAddress);
--- a/src/entry/index.ts
+++ b/src/entry/index.ts
@@ -6,7 +6,7 @@
 export * from './service-table.js';
 export * from './call-handler.js';
 export * from './discovery.js';
-export * from './front.js';
+export * from './listeners.js';
 export * from './relay.js';
 export * from './prober.js';
 export * from './status.js';
--- a/src/entry/front.ts
+++ b/src/entry/listeners.ts
@@ -14,7 +14,7 @@
 import type { ServiceRuntime } from './service-runtime.js';
 
 /** Who serves what arrives. */
-export interface FrontHandlers {
+export interface ListenerHandlers {
   readonly serveCall: (
     request: IncomingMessage,
     response: ServerResponse,
@@ -24,7 +24,7 @@
 }
 
 /** The running listeners. */
-export interface Front {
+export interface EntryListeners {
   readonly callers: HttpListener;
   readonly relay: HttpListener;
 }
@@ -35,11 +35,11 @@
 const UNAVAILABLE = 503;
 
 /** Starts both listeners. */
-export async function startFront(
+export async function startListeners(
   kernel: Kernel,
   settings: EntrySettings,
-  { serveCall, findService, keys }: FrontHandlers & { readonly keys?: KeyPair },
-): Promise<Front> {
+  { serveCall, findService, keys }: ListenerHandlers & { readonly keys?: KeyPair },
+): Promise<EntryListeners> {
   const { limits, security, entry } = settings;
   const log = kernel.find(logService);
   const metrics = kernel.find(metricsService);
@@ -58,8 +58,8 @@
     const runtime = findService(name);
     const answer = runtime && answerDiscovery(runtime, limits.answer_ttl);
     const found = answer !== undefined && answer.entries.length > 0;
-    const missing = answer === undefined ? NOT_FOUND : UNAVAILABLE;
-    const status = found ? OK : missing;
+    const errorStatus = answer === undefined ? NOT_FOUND : UNAVAILABLE;
+    const status = found ? OK : errorStatus;
     const body = JSON.stringify(answer ?? { status, title: `No service "${name}"` });
     response.writeHead(status, {
       'content-type': answer === undefined ? 'application/problem+json' : 'application/json',
@@ -75,8 +75,8 @@
   }
 
   function serveRelay(request: IncomingMessage, response: ServerResponse): void {
-    const given = String(request.headers[RELAY_HEADER] ?? '');
-    if (matchesSecret(given, security.peer_secret)) serveCall(request, response, true);
+    const secret = String(request.headers[RELAY_HEADER] ?? '');
+    if (matchesSecret(secret, security.peer_secret)) serveCall(request, response, true);
     else response.writeHead(FORBIDDEN).end();
   }
 
--- a/src/entry/placement.ts
+++ b/src/entry/placement.ts
@@ -14,7 +14,7 @@
 }
 
 /** Returns the VMs that are targets of a pool by role. */
-export function listRole(vms: readonly Vm[], role: string): readonly Vm[] {
+export function listVmsInRole(vms: readonly Vm[], role: string): readonly Vm[] {
   return role === '' ? [] : vms.filter((vm) => vm.role === role);
 }
 
@@ -22,42 +22,42 @@
  * Chooses the region whose entries are homes: this entry's own when the service has targets there
  * or nowhere; else one that has both targets and entries, the same in every entry.
  */
-function chooseRegion(service: Service, { own, vms, candidates }: PlacementView): string {
+function chooseRegion(service: Service, { ownRegion, vms, candidates }: PlacementInputs): string {
   const roles = new Set(service.pools.map(({ role }) => role).filter((role) => role !== ''));
   const regions = new Set<string>();
   for (const vm of vms) {
     if (vm.state === 'live' && roles.has(vm.role)) regions.add(parseRegion(vm.domain));
   }
-  if (regions.size === 0 || regions.has(own)) return own;
-  const staffed = new Set(candidates.map(({ domain }) => parseRegion(domain)));
-  return [...regions].sort().find((region) => staffed.has(region)) ?? own;
+  if (regions.size === 0 || regions.has(ownRegion)) return ownRegion;
+  const regionsWithEntries = new Set(candidates.map(({ domain }) => parseRegion(domain)));
+  return [...regions].sort().find((region) => regionsWithEntries.has(region)) ?? ownRegion;
 }
 
 /** What placing needs to see. */
-export interface PlacementView {
+export interface PlacementInputs {
   /** Region of this entry. */
-  readonly own: string;
+  readonly ownRegion: string;
   readonly selfId: string;
   readonly vms: readonly Vm[];
   /** Live and suspected entries. */
   readonly candidates: readonly Member[];
   /** Homes that the measured load of a service needs. */
-  readonly countNeeded: (service: string) => number;
+  readonly countNeededHomes: (service: string) => number;
   /** Makes every entry a home that uses every target: the baseline that homes are measured against. */
-  readonly everywhere: boolean;
+  readonly makesAllHomes: boolean;
 }
 
 /** Places a service. */
-export function placeService(service: Service, view: PlacementView): Placement {
-  const region = chooseRegion(service, view);
-  if (view.everywhere) {
-    const plan = { homes: view.candidates, alternates: [] };
+export function placeService(service: Service, inputs: PlacementInputs): Placement {
+  const region = chooseRegion(service, inputs);
+  if (inputs.makesAllHomes) {
+    const plan = { homes: inputs.candidates, alternates: [] };
     return { region, plan, isHome: true, sharesTargets: false };
   }
-  const local = view.candidates.filter(({ domain }) => parseRegion(domain) === region);
+  const local = inputs.candidates.filter(({ domain }) => parseRegion(domain) === region);
   const { name, homes, expected_rate } = service;
-  const need = { name, homes, expected_rate, needed: view.countNeeded(name) };
-  const plan = planHomes(need, local.length > 0 ? local : view.candidates);
-  const isHome = plan.homes.some(({ id }) => id === view.selfId);
+  const need = { name, homes, expected_rate, needed: inputs.countNeededHomes(name) };
+  const plan = planHomes(need, local.length > 0 ? local : inputs.candidates);
+  const isHome = plan.homes.some(({ id }) => id === inputs.selfId);
   return { region, plan, isHome, sharesTargets: isHome };
 }
--- a/src/entry/pool-runtime.ts
+++ b/src/entry/pool-runtime.ts
@@ -17,7 +17,7 @@
 } from '../balance/index.js';
 import type { PoolConfig, Service } from '../config/index.js';
 import type { Vm } from '../platform/index.js';
-import { type Placement, listRole } from './placement.js';
+import { type Placement, listVmsInRole } from './placement.js';
 
 /** What a pool at work is made from. */
 export interface PoolRuntimeOptions {
@@ -26,7 +26,7 @@
   readonly strategy: Strategy;
   readonly clock: Clock;
   readonly random: Random;
-  readonly onDropped: (address: Address) => void;
+  readonly onTargetRemoved: (address: Address) => void;
   /** The same pool under the configuration before, whose targets are kept when they still fit. */
   readonly previous?: PoolRuntime;
 }
@@ -45,7 +45,7 @@
   readonly isNew: boolean;
 }
 
-const RESERVED_CONNECTIONS = 2;
+const RESERVED_HOME_SHARES = 2;
 
 /** A pool at work. */
 export class PoolRuntime {
@@ -55,11 +55,11 @@
 
   constructor(private readonly options: PoolRuntimeOptions) {
     const { service, strategy, clock, random, config, previous } = options;
-    const fits =
+    const canReuseTargets =
       previous !== undefined &&
       previous.config.slots === config.slots &&
       previous.config.cold_start === config.cold_start;
-    this.#targets = new Map(fits ? previous.#targets : []);
+    this.#targets = new Map(canReuseTargets ? previous.#targets : []);
     this.pool = new Pool({ strategy, queueLimit: service.queue_limit, clock, random });
   }
 
@@ -68,22 +68,22 @@
   }
 
   /** Takes the list and the placement, and chooses the targets that this entry uses. */
-  update({ vms, isNew }: VmView, placement: Placement, self: string): void {
+  update({ vms, isNew }: VmView, placement: Placement, selfId: string): void {
     const listed = this.#listTargets({ vms, isNew });
     for (const [name, target] of this.#targets) {
       if (listed.has(name)) continue;
       target.updateListedState('gone');
       this.#targets.delete(name);
-      this.options.onDropped(target.address);
+      this.options.onTargetRemoved(target.address);
     }
     const { homes } = placement.plan;
     const names = [...listed.keys()];
-    const mine = placement.sharesTargets ? assignTargets(names, homes, self) : new Set(names);
+    const assigned = placement.sharesTargets ? assignTargets(names, homes, selfId) : new Set(names);
     const used: Target[] = [];
-    for (const [name, entry] of listed) {
-      if (!mine.has(name)) continue;
-      const target = this.#targets.get(name) ?? this.#createTarget(name, entry);
-      target.updateListedState(entry.leaving ? 'leaving' : 'live');
+    for (const [name, listedTarget] of listed) {
+      if (!assigned.has(name)) continue;
+      const target = this.#targets.get(name) ?? this.#createTarget(name, listedTarget);
+      target.updateListedState(listedTarget.leaving ? 'leaving' : 'live');
       used.push(target);
     }
     this.pool.setTargets(used);
@@ -96,7 +96,7 @@
 
   /** Connections that this entry may open to one target. */
   countConnections(homes: number): number {
-    const share = Math.floor(this.config.connections / (homes + RESERVED_CONNECTIONS));
+    const share = Math.floor(this.config.connections / (homes + RESERVED_HOME_SHARES));
     assertInvariant(share >= 0, 'a share of connections is never negative');
     return Math.max(1, share);
   }
@@ -108,7 +108,7 @@
         ...{ address, domain: '', leaving: false, isNew: false },
       });
     }
-    for (const { address, domain, state } of listRole(vms, this.config.role)) {
+    for (const { address, domain, state } of listVmsInRole(vms, this.config.role)) {
       const name = formatAddress(address);
       const leaving = state === 'leaving';
       listed.set(name, { address, domain, leaving, isNew: isNew(name) });
@@ -116,16 +116,16 @@
     return listed;
   }
 
-  #createTarget(name: string, entry: ListedTarget): Target {
+  #createTarget(name: string, listedTarget: ListedTarget): Target {
     const { config, clock, random } = this.options;
-    const address = parseAddress(name) ?? entry.address;
+    const address = parseAddress(name) ?? listedTarget.address;
     const limit =
       config.slots > 0
         ? createFixedLimit(config.slots)
         : createAdaptiveLimit(this.countConnections(1));
     const target = new Target({
-      ...{ address, domain: entry.domain, limit, coldStart: config.cold_start },
-      ...{ isNew: entry.isNew, clock, random },
+      ...{ address, domain: listedTarget.domain, limit, coldStart: config.cold_start },
+      ...{ isNew: listedTarget.isNew, clock, random },
     });
     this.#targets.set(name, target);
     return target;
--- a/src/entry/prober.ts
+++ b/src/entry/prober.ts
@@ -17,10 +17,10 @@
   readonly metrics: Metrics;
 }
 
-const PERIOD = 1000;
-const PROBE_TIMEOUT = 1000;
-const PROBE_CONNECTIONS = 2;
-const HEALTHY_BELOW = 400;
+const PROBE_INTERVAL_MS = 1000;
+const PROBE_TIMEOUT_MS = 1000;
+const MAX_PROBE_CONNECTIONS = 2;
+const MIN_UNHEALTHY_STATUS = 400;
 
 /** Probes targets within the measuring budget of each pool. */
 export class Prober {
@@ -36,7 +36,7 @@
   /** Probes until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.options.clock.sleep(PERIOD, signal);
+      await this.options.clock.sleep(PROBE_INTERVAL_MS, signal);
       if (signal.aborted) return;
       for (const runtime of this.options.table.list()) {
         if (!runtime.placement.isHome) continue;
@@ -61,8 +61,8 @@
   }
 
   #findGrant(key: string, budget: number): MeasuringGrant {
-    const known = this.#grants.get(key);
-    if (known !== undefined) return known;
+    const existing = this.#grants.get(key);
+    if (existing !== undefined) return existing;
     const { platform, clock } = this.options;
     const grant = new MeasuringGrant(key, budget, platform, clock);
     this.#grants.set(key, grant);
@@ -70,13 +70,13 @@
   }
 
   async #probe(target: Target, path: string): Promise<boolean> {
-    const client = this.options.clients.find(target.address, PROBE_CONNECTIONS);
+    const client = this.options.clients.find(target.address, MAX_PROBE_CONNECTIONS);
     try {
       const { statusCode, body } = await client.request({
-        ...{ method: 'GET', path, signal: AbortSignal.timeout(PROBE_TIMEOUT) },
+        ...{ method: 'GET', path, signal: AbortSignal.timeout(PROBE_TIMEOUT_MS) },
       });
       await body.dump();
-      return statusCode < HEALTHY_BELOW;
+      return statusCode < MIN_UNHEALTHY_STATUS;
     } catch {
       return false;
     }
--- a/src/entry/relay.ts
+++ b/src/entry/relay.ts
@@ -13,7 +13,7 @@
   RELAY_HEADER,
   buildTargetHeaders,
   createUnknown,
-  inviteBody,
+  sendContinue,
   startAttempt,
 } from '../proxy/index.js';
 import type { Clients } from './clients.js';
@@ -33,14 +33,19 @@
   readonly secret: string;
 }
 
-const RELAY_CONNECTIONS = 256;
+const MAX_RELAY_CONNECTIONS = 256;
 
 /** The home ends the call at its deadline and says how; this entry waits a little longer. */
-const GRACE = 50;
+const DEADLINE_GRACE_MS = 50;
 
-function buildHeaders({ call, request }: RelayedCall, left: number, secret: string): string[] {
+function buildHeaders({ call, request }: RelayedCall, timeLeft: number, secret: string): string[] {
   const headers = buildTargetHeaders(request.rawHeaders, {
-    ...{ call: call.id, left, callerAddress: call.callerAddress, isRetry: call.isRetry },
+    ...{
+      callId: call.id,
+      timeLeft,
+      callerAddress: call.callerAddress,
+      isRetry: call.isRetry,
+    },
     forwardedFor: request.headers['x-forwarded-for'] as string | undefined,
   });
   headers.push(RELAY_HEADER, secret);
@@ -74,20 +79,20 @@
   if (address === undefined) return 'not-reached';
   const { call, request, response, signal } = relayed;
   const deadline = call.receivedAt + call.timeAllowed;
-  const body: Body = call.bytes === 0 ? { kind: 'none' } : { kind: 'stream', request };
-  if (body.kind === 'stream') inviteBody(request, response);
+  const body: Body = call.bodyLength === 0 ? { kind: 'none' } : { kind: 'stream', request };
+  if (body.kind === 'stream') sendContinue(request, response);
   let sent = false;
   const attempt = startAttempt({
-    ...{ client: clients.find(address, RELAY_CONNECTIONS), call, body, response },
+    ...{ client: clients.find(address, MAX_RELAY_CONNECTIONS), call, body, response },
     headers: buildHeaders(relayed, deadline - clock.now(), secret),
-    ...{ gate: new AnswerGate(), keepsOutcome: true, discards: () => false },
-    isTimely: () => clock.now() < deadline,
+    ...{ gate: new AnswerGate(), keepsOutcomeHeader: true, isDiscarded: () => false },
+    isBeforeDeadline: () => clock.now() < deadline,
     onSent: () => {
       sent = true;
     },
     onNotRun: () => undefined,
   });
-  const limit = deadline - clock.now() + GRACE;
+  const limit = deadline - clock.now() + DEADLINE_GRACE_MS;
   const result = await waitForEnd(attempt, relayed, { clock, limit });
   if (result.kind === 'relayed') {
     return { kind: 'answered', status: result.status, target: home.relay };
--- a/src/entry/service-runtime.ts
+++ b/src/entry/service-runtime.ts
@@ -23,7 +23,7 @@
   readonly strategy: Strategy;
   readonly clock: Clock;
   readonly random: Random;
-  readonly onDropped: (address: Address) => void;
+  readonly onTargetRemoved: (address: Address) => void;
   /** The same service under the configuration before. */
   readonly previous?: ServiceRuntime;
 }
@@ -32,9 +32,9 @@
 export class ServiceRuntime {
   readonly counts: CallCounts;
 
-  readonly retries: ShareBudget;
+  readonly retryBudget: ShareBudget;
 
-  readonly hedges: ShareBudget;
+  readonly hedgeBudget: ShareBudget;
 
   readonly rate: RateMeter;
 
@@ -47,8 +47,8 @@
     this.counts = previous?.counts ?? {
       ...{ answered: 0, notRun: 0, unknown: 0, cut: 0, gone: 0, relayed: 0, policyFailures: 0 },
     };
-    this.retries = new ShareBudget(service.retry_percent);
-    this.hedges = new ShareBudget(service.hedge_percent);
+    this.retryBudget = new ShareBudget(service.retry_percent);
+    this.hedgeBudget = new ShareBudget(service.hedge_percent);
     this.rate = new RateMeter(clock.now());
     this.placement = placement;
   }
@@ -63,30 +63,30 @@
   }
 
   /** Takes a new list of VMs or a new placement. */
-  update(view: VmView, placement: Placement, self: string): void {
+  update(view: VmView, placement: Placement, selfId: string): void {
     this.placement = placement;
-    if (placement.isHome) this.#openPools();
-    for (const runtime of this.listPools()) runtime.update(view, placement, self);
+    if (placement.isHome) this.#createPools();
+    for (const runtime of this.listPools()) runtime.update(view, placement, selfId);
   }
 
   /** Finds a pool by name, or the main one, building the pools if need be. */
-  findPool(name: string | undefined, view: VmView, self: string): PoolRuntime {
+  findPool(name: string | undefined, view: VmView, selfId: string): PoolRuntime {
     if (this.#pools === undefined) {
-      this.#openPools();
-      this.update(view, this.placement, self);
+      this.#createPools();
+      this.update(view, this.placement, selfId);
     }
     const pools = this.#pools as ReadonlyMap<string, PoolRuntime>;
     return pools.get(name ?? MAIN_POOL) ?? (pools.get(MAIN_POOL) as PoolRuntime);
   }
 
-  #openPools(): void {
+  #createPools(): void {
     if (this.#pools !== undefined) return;
-    const { service, strategy, clock, random, onDropped } = this.options;
-    const before = this.options.previous?.listPools() ?? [];
+    const { service, strategy, clock, random, onTargetRemoved } = this.options;
+    const previousPools = this.options.previous?.listPools() ?? [];
     this.#pools = new Map(
       service.pools.map((config) => {
-        const previous = before.find((pool) => pool.config.name === config.name);
-        const shared = { service, strategy, clock, random, onDropped };
+        const previous = previousPools.find((pool) => pool.config.name === config.name);
+        const shared = { service, strategy, clock, random, onTargetRemoved };
         return [config.name, new PoolRuntime({ ...shared, config, previous })];
       }),
     );
--- a/src/entry/service-table.ts
+++ b/src/entry/service-table.ts
@@ -22,9 +22,9 @@
   readonly domain: string;
   readonly selfId: () => string;
   readonly listCandidates: () => readonly Member[];
-  readonly onDropped: (address: Address) => void;
+  readonly onTargetRemoved: (address: Address) => void;
   /** Homes that the measured load of a service needs. */
-  readonly countNeeded: (service: string) => number;
+  readonly countNeededHomes: (service: string) => number;
 }
 
 /** A busy service; `rate` in calls a second. */
@@ -40,7 +40,7 @@
   #vms: readonly Vm[] = [];
 
   /** Addresses that were on the first list; a target that appears later is cold. */
-  #firstVms: ReadonlySet<string> | undefined;
+  #initialAddresses: ReadonlySet<string> | undefined;
 
   #runtimes: ReadonlyMap<string, ServiceRuntime> = new Map();
 
@@ -77,7 +77,7 @@
   /** Takes a new list of VMs. */
   setVms(vms: readonly Vm[]): void {
     this.#vms = vms;
-    this.#firstVms ??= new Set(vms.map(({ address }) => formatAddress(address)));
+    this.#initialAddresses ??= new Set(vms.map(({ address }) => formatAddress(address)));
     this.refresh();
   }
 
@@ -91,23 +91,26 @@
 
   /** What pools need to know of the list of VMs. */
   readVmView(): VmView {
-    const first = this.#firstVms;
-    return { vms: this.#vms, isNew: (name) => first !== undefined && !first.has(name) };
+    const initialAddresses = this.#initialAddresses;
+    return {
+      vms: this.#vms,
+      isNew: (name) => initialAddresses !== undefined && !initialAddresses.has(name),
+    };
   }
 
   /** Measures the services that are at home here and busy enough to tell others; calls a second. */
-  listBusy(now: number, above: number): readonly BusyService[] {
+  listBusy(now: number, minRate: number): readonly BusyService[] {
     const busy: BusyService[] = [];
     for (const { service, rate, placement } of this.#runtimes.values()) {
       const measured = rate.read(now);
-      if (placement.isHome && measured > above)
+      if (placement.isHome && measured > minRate)
         busy.push({ service: service.name, rate: measured });
     }
     return busy;
   }
 
   /** Takes another entry's notice that a target is leaving. */
-  noteLeaving(name: string): void {
+  recordLeavingTarget(name: string): void {
     for (const runtime of this.#runtimes.values()) {
       for (const pool of runtime.listPools()) pool.findTarget(name)?.recordLeavingNotice();
     }
@@ -115,19 +118,19 @@
 
   #place(service: Service): Placement {
     return placeService(service, {
-      own: parseRegion(this.options.domain),
+      ownRegion: parseRegion(this.options.domain),
       selfId: this.options.selfId(),
       vms: this.#vms,
       candidates: this.options.listCandidates(),
-      countNeeded: this.options.countNeeded,
-      everywhere: !isBounded(this.options.strategy),
+      countNeededHomes: this.options.countNeededHomes,
+      makesAllHomes: !isBounded(this.options.strategy),
     });
   }
 
   #createRuntime(service: Service, previous: ServiceRuntime | undefined): ServiceRuntime {
-    const { strategy, clock, random, onDropped } = this.options;
+    const { strategy, clock, random, onTargetRemoved } = this.options;
     const placement = this.#place(service);
-    const shared = { strategy, clock, random, onDropped };
+    const shared = { strategy, clock, random, onTargetRemoved };
     return new ServiceRuntime({ ...shared, service, placement, previous });
   }
 }
--- a/src/entry/status.ts
+++ b/src/entry/status.ts
@@ -97,8 +97,8 @@
     isHome: placement.isHome,
     rate: runtime.rate.read(now),
     counts: { ...runtime.counts },
-    retries: runtime.retries.spent,
-    hedges: runtime.hedges.spent,
+    retries: runtime.retryBudget.spent,
+    hedges: runtime.hedgeBudget.spent,
     pools: runtime.listPools().map(({ config, pool }) => {
       const { busy, waiting } = pool.readLoad();
       return {
--- a/src/gateway/requests/forwarding.ts
+++ b/src/gateway/requests/forwarding.ts
@@ -314,7 +314,7 @@
     this.#tried.add(target);
     this.#sendings += 1;
     this.#log.noteSent();
-    this.#ledger.noteSent();
+    this.#ledger.recordSent();
     if (target.advertisedRate.isLimited) {
       this.context.metrics.count('limited_calls', { service: request.service.name });
     }
@@ -356,20 +356,20 @@
         this.#takeAnswer(attempt, outcome.answer);
         return;
       case 'not-connected':
-        this.#ledger.noteNotRun();
+        this.#ledger.recordNotRun();
         this.#sendings -= 1;
         target.recordFailure();
         this.#log.tellFailure(attempt, outcome.kind, outcome.reason);
         if (this.#running.size === 0) this.#begin();
         return;
       case 'withdrawn':
-        this.#ledger.noteNotRun();
+        this.#ledger.recordNotRun();
         this.#sendings -= 1;
         this.context.metrics.count('calls_withdrawn', { service: this.request.service.name });
         if (this.#running.size === 0) this.#begin();
         return;
       case 'not-run':
-        this.#ledger.noteNotRun();
+        this.#ledger.recordNotRun();
         target.recordFailure();
         this.#log.tellFailure(attempt, outcome.kind, outcome.cause);
         this.#repeat('no-room');
@@ -384,7 +384,7 @@
         this.#repeat('lost');
         return;
       case 'cancelled':
-        if (!outcome.sent) this.#ledger.noteNotRun();
+        if (!outcome.sent) this.#ledger.recordNotRun();
         return;
       default:
         outcome satisfies never;
--- a/src/gateway/requests/request-reader.ts
+++ b/src/gateway/requests/request-reader.ts
@@ -1,7 +1,7 @@
 /** Reads a caller's request: its head against the operators' limits, its route, its body. */
 import type { IncomingMessage } from 'node:http';
 import { type Readable, Transform } from 'node:stream';
-import { checkHead, normalizeTarget } from '../../proxy/door.js';
+import { checkHead, normalizeTarget } from '../../proxy/head-check.js';
 import { listPairs } from '../../proxy/headers.js';
 import { HEADERS } from '../../platform/index.js';
 import type { RequestLimits } from '../../routing/index.js';
--- a/src/proxy/attempt.ts
+++ b/src/proxy/attempt.ts
@@ -16,7 +16,7 @@
   REPORT_HEADER,
   buildCallerHeaders,
   findHeader,
-  readReport,
+  parseReport,
 } from './headers.js';
 import type { UnknownReason } from './outcome.js';
 
@@ -43,25 +43,25 @@
 export class AnswerGate {
   #owner: object | undefined;
 
-  readonly #losers = new Set<(reason: string) => void>();
+  readonly #abortCallbacks = new Set<(reason: string) => void>();
 
   /** Registers how an attempt is given up when another one answers. */
-  enter(abort: (reason: string) => void): void {
-    this.#losers.add(abort);
+  add(abort: (reason: string) => void): void {
+    this.#abortCallbacks.add(abort);
   }
 
   /** Takes the right to answer; false when another attempt has it. */
-  own(attempt: object, abort: (reason: string) => void): boolean {
+  claim(attempt: object, abort: (reason: string) => void): boolean {
     if (this.#owner !== undefined) return this.#owner === attempt;
     this.#owner = attempt;
-    for (const other of this.#losers) {
+    for (const other of this.#abortCallbacks) {
       if (other !== abort) other('another attempt answered first');
     }
     return true;
   }
 
   /** Whether any attempt has answered. */
-  get taken(): boolean {
+  get isClaimed(): boolean {
     return this.#owner !== undefined;
   }
 }
@@ -75,11 +75,11 @@
   readonly response: ServerResponse;
   readonly gate: AnswerGate;
   /** Whether the answer comes from another entry, whose outcome header passes on. */
-  readonly keepsOutcome?: boolean;
+  readonly keepsOutcomeHeader?: boolean;
   /** Whether a server error with this status is kept from the caller to try again. */
-  readonly discards: (status: number) => boolean;
+  readonly isDiscarded: (status: number) => boolean;
   /** Whether the call may still be sent; asked right before its first byte. */
-  readonly isTimely: () => boolean;
+  readonly isBeforeDeadline: () => boolean;
   /** Called once when the first byte may have been written. */
   readonly onSent: () => void;
   /** Called with what the target reports of itself. */
@@ -95,9 +95,9 @@
   abort(reason: string): void;
 }
 
-const NO_BODY_STATUS = new Set([204, 304]);
-const EARLY_HINTS = 103;
-const FIRST_FINAL = 200;
+const NO_BODY_STATUSES = new Set([204, 304]);
+const EARLY_HINTS_STATUS = 103;
+const MIN_FINAL_STATUS = 200;
 
 /** Gives an attempt up for a reason that the entry chose. */
 class AttemptAborted extends Error {
@@ -114,7 +114,7 @@
 
 /** Whether the end of an answer can be told from a broken connection. */
 function isDelimited(method: string, status: number, headers: FlatHeaders): boolean {
-  if (method === 'HEAD' || NO_BODY_STATUS.has(status)) return true;
+  if (method === 'HEAD' || NO_BODY_STATUSES.has(status)) return true;
   if (findHeader(headers, 'content-length') !== undefined) return true;
   return findHeader(headers, 'transfer-encoding') !== undefined;
 }
@@ -138,7 +138,7 @@
 }
 
 function writeInformational(response: ServerResponse, status: number, headers: FlatHeaders): void {
-  if (status !== EARLY_HINTS || response.headersSent) return;
+  if (status !== EARLY_HINTS_STATUS || response.headersSent) return;
   const link = findHeader(headers, 'link');
   if (link !== undefined) response.writeEarlyHints({ link });
 }
@@ -147,11 +147,11 @@
 export function startAttempt(options: AttemptOptions): Attempt {
   const { call, response, gate } = options;
   const identity = {};
-  let starts = 0;
-  let headSent = false;
+  let startCount = 0;
+  let isHeadSent = false;
   let status = 0;
   let controller: Dispatcher.DispatchController | undefined;
-  let verdict: AttemptResult | undefined;
+  let decidedResult: AttemptResult | undefined;
   let abortedBeforeStart: string | undefined;
   let resolveDone: (result: AttemptResult) => void;
   const done = new Promise<AttemptResult>((resolve) => {
@@ -164,58 +164,58 @@
   };
   const resume = () => controller?.resume();
   /** Ends the attempt with a verdict of its own and closes the connection to the target. */
-  const stop = (result: AttemptResult) => {
-    verdict = result;
+  const stopWith = (result: AttemptResult) => {
+    decidedResult = result;
     controller?.abort(ABORTED);
   };
 
-  function takeHead(code: number, headers: FlatHeaders): void {
-    const read = readReport(findHeader(headers, REPORT_HEADER));
-    options.onReport?.(read.report);
-    if (read.notRun) {
+  function handleResponseHead(code: number, headers: FlatHeaders): void {
+    const parsed = parseReport(findHeader(headers, REPORT_HEADER));
+    options.onReport?.(parsed.report);
+    if (parsed.notRun) {
       options.onNotRun();
-      stop({ kind: 'not-run', cause: { kind: 'target-shed' } });
+      stopWith({ kind: 'not-run', cause: { kind: 'target-shed' } });
       return;
     }
-    const echoed = findHeader(headers, CALL_HEADER);
-    if (echoed !== undefined && echoed !== call.id) {
-      const detail = `the answer belongs to call ${echoed}`;
-      stop({ kind: 'lost', reason: 'wrong-answer', detail });
+    const echoedCallId = findHeader(headers, CALL_HEADER);
+    if (echoedCallId !== undefined && echoedCallId !== call.id) {
+      const detail = `the answer belongs to call ${echoedCallId}`;
+      stopWith({ kind: 'lost', reason: 'wrong-answer', detail });
       return;
     }
     if (!isDelimited(call.method, code, headers)) {
       const detail = 'the answer ends with its connection, so its end cannot be told';
-      stop({ kind: 'lost', reason: 'undelimited-answer', detail });
+      stopWith({ kind: 'lost', reason: 'undelimited-answer', detail });
       return;
     }
-    if (options.discards(code)) {
-      stop({ kind: 'discarded', status: code });
+    if (options.isDiscarded(code)) {
+      stopWith({ kind: 'discarded', status: code });
       return;
     }
-    if (!gate.own(identity, abort)) {
-      stop({ kind: 'cancelled', sent: true });
+    if (!gate.claim(identity, abort)) {
+      stopWith({ kind: 'cancelled', sent: true });
       return;
     }
     status = code;
-    headSent = true;
-    response.writeHead(code, buildCallerHeaders(headers, call.id, options.keepsOutcome));
+    isHeadSent = true;
+    response.writeHead(code, buildCallerHeaders(headers, call.id, options.keepsOutcomeHeader));
     response.on('drain', resume);
   }
 
   const handler: Dispatcher.DispatchHandler = {
     onRequestStart(started) {
       controller = started;
-      starts += 1;
+      startCount += 1;
       if (abortedBeforeStart !== undefined) {
         started.abort(ABORTED);
         return;
       }
-      if (starts > 1) {
+      if (startCount > 1) {
         // The library offers to send the call again; whether that may be is not for it to decide.
         started.abort(new Error('connection lost'));
         return;
       }
-      if (!options.isTimely()) {
+      if (!options.isBeforeDeadline()) {
         abortedBeforeStart = 'deadline';
         started.abort(ABORTED);
         return;
@@ -224,19 +224,19 @@
     },
     onResponseStart(started, code) {
       const headers = decodeHeaders(started.rawHeaders);
-      if (code < FIRST_FINAL) writeInformational(response, code, headers);
-      else takeHead(code, headers);
+      if (code < MIN_FINAL_STATUS) writeInformational(response, code, headers);
+      else handleResponseHead(code, headers);
     },
     onResponseData(started, chunk) {
-      if (verdict !== undefined) return;
+      if (decidedResult !== undefined) return;
       if (!response.write(chunk)) started.pause();
     },
     onResponseEnd(_started, trailers) {
-      if (verdict !== undefined) {
-        resolveDone(verdict);
+      if (decidedResult !== undefined) {
+        resolveDone(decidedResult);
         return;
       }
-      assertInvariant(headSent, 'an answer ends after its head was passed on');
+      assertInvariant(isHeadSent, 'an answer ends after its head was passed on');
       response.removeListener('drain', resume);
       if (Object.keys(trailers).length > 0) response.addTrailers(trailers);
       response.end();
@@ -244,16 +244,16 @@
     },
     onResponseError(_started, error) {
       response.removeListener('drain', resume);
-      if (verdict !== undefined) {
-        resolveDone(verdict);
+      if (decidedResult !== undefined) {
+        resolveDone(decidedResult);
         return;
       }
-      if (headSent) {
+      if (isHeadSent) {
         response.destroy();
         resolveDone({ kind: 'cut', detail: error.message });
         return;
       }
-      if (starts === 0 || (starts === 1 && abortedBeforeStart !== undefined)) {
+      if (startCount === 0 || (startCount === 1 && abortedBeforeStart !== undefined)) {
         resolveDone(
           abortedBeforeStart !== undefined || error === ABORTED
             ? { kind: 'cancelled', sent: false }
@@ -269,10 +269,10 @@
     },
   };
 
-  gate.enter(abort);
+  gate.add(abort);
   options.client.dispatch(
     {
-      path: call.target,
+      path: call.requestTarget,
       method: call.method,
       headers: options.headers as string[],
       body: buildBody(options.body),
--- a/src/proxy/body.ts
+++ b/src/proxy/body.ts
@@ -9,7 +9,7 @@
   | { readonly kind: 'stream'; readonly request: IncomingMessage };
 
 /** The longest body that is buffered, in bytes. */
-export const MAX_BUFFERED = 65_536;
+export const MAX_BUFFERED_BODY_BYTES = 65_536;
 
 /** Bounds the bytes of buffered bodies that one daemon holds. */
 export class BufferBudget {
@@ -25,19 +25,19 @@
   }
 
   /** Gives `bytes` back. */
-  give(bytes: number): void {
+  release(bytes: number): void {
     this.#used -= bytes;
   }
 }
 
 /** Tells the caller to send its body, if it waits to be told (`Expect: 100-continue`). */
-export function inviteBody(request: IncomingMessage, response: ServerResponse): void {
+export function sendContinue(request: IncomingMessage, response: ServerResponse): void {
   if (request.headers.expect === undefined || response.headersSent) return;
   response.writeContinue();
 }
 
 /** Reads a whole body of declared length; rejects when the caller ends it early. */
-export async function readWhole(request: IncomingMessage): Promise<Buffer> {
+export async function readBody(request: IncomingMessage): Promise<Buffer> {
   const chunks: Buffer[] = [];
   for await (const chunk of request.iterator({ destroyOnReturn: false })) {
     chunks.push(chunk as Buffer);
@@ -47,7 +47,7 @@
 
 /** Whether a body is short enough to be buffered, so that a call can be tried at another target. */
 export function isBufferable(call: Call): boolean {
-  return call.bytes > 0 && call.bytes <= MAX_BUFFERED;
+  return call.bodyLength > 0 && call.bodyLength <= MAX_BUFFERED_BODY_BYTES;
 }
 
 /** Whether a body can be sent once more. */
--- a/src/proxy/call.ts
+++ b/src/proxy/call.ts
@@ -13,7 +13,7 @@
   readonly id: string;
   readonly method: string;
   /** Path and query as sent. */
-  readonly target: string;
+  readonly requestTarget: string;
   readonly path: string;
   readonly host: string;
   readonly caller: string;
@@ -25,36 +25,36 @@
   readonly timeAllowed: number;
   readonly receivedAt: number;
   /** Declared length of the body; -1 when it is chunked, 0 without a body. */
-  readonly bytes: number;
+  readonly bodyLength: number;
   /** Whether the call was made while serving a retry; it is then not retried again. */
   readonly isRetry: boolean;
 }
 
 const REPEATABLE_METHODS = new Set(['GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE', 'TRACE']);
-const MAX_KEY = 256;
-const MAX_CALLER = 128;
-const CALL_ID = /^[\w.-]{1,64}$/;
-const DRAW_RANGE = 2 ** 48;
+const MAX_IDEMPOTENCY_KEY_LENGTH = 256;
+const MAX_CALLER_LENGTH = 128;
+const CALL_ID_PATTERN = /^[\w.-]{1,64}$/;
+const HASH_RANGE = 2 ** 48;
 
-function readOne(request: IncomingMessage, name: string): string | undefined {
+function readHeader(request: IncomingMessage, name: string): string | undefined {
   const value = request.headers[name];
   return Array.isArray(value) ? value.join(', ') : value;
 }
 
 function readRepeatable(request: IncomingMessage): boolean | undefined {
-  const text = readOne(request, CALLER_HEADERS.repeatable);
+  const text = readHeader(request, CALLER_HEADERS.repeatable);
   if (text === undefined) return REPEATABLE_METHODS.has(request.method ?? '');
   if (text === 'yes') return true;
   return text === 'no' ? false : undefined;
 }
 
-function readBytes(request: IncomingMessage): number {
+function readBodyLength(request: IncomingMessage): number {
   if (request.headers['transfer-encoding'] !== undefined) return -1;
   return Number(request.headers['content-length'] ?? 0);
 }
 
-function readDeadline(request: IncomingMessage, service: Service): number | undefined {
-  const text = readOne(request, CALLER_HEADERS.deadline);
+function readTimeAllowed(request: IncomingMessage, service: Service): number | undefined {
+  const text = readHeader(request, CALLER_HEADERS.deadline);
   if (text === undefined) return service.deadline;
   if (!/^\d{1,9}$/.test(text) || Number(text) === 0) return undefined;
   return Math.min(Number(text), service.deadline_max);
@@ -62,11 +62,11 @@
 
 /** Returns the call's identifier: the caller's own when it is well formed, else a new one. */
 export function readCallId(request: IncomingMessage, random: Random): string {
-  const given = readOne(request, CALL_HEADER);
-  return given !== undefined && CALL_ID.test(given) ? given : random.id();
+  const given = readHeader(request, CALL_HEADER);
+  return given !== undefined && CALL_ID_PATTERN.test(given) ? given : random.id();
 }
 
-function reject(header: string, expected: string): Either<Outcome, never> {
+function rejectHeader(header: string, expected: string): Either<Outcome, never> {
   return Left(createNotRun('bad-request', `header ${header}: expected ${expected}`));
 }
 
@@ -76,24 +76,33 @@
   { service, id, now }: { readonly service: Service; readonly id: string; readonly now: number },
 ): Either<Outcome, Call> {
   const repeatable = readRepeatable(request);
-  if (repeatable === undefined) return reject(CALLER_HEADERS.repeatable, 'yes or no');
-  const timeAllowed = readDeadline(request, service);
+  if (repeatable === undefined) return rejectHeader(CALLER_HEADERS.repeatable, 'yes or no');
+  const timeAllowed = readTimeAllowed(request, service);
   if (timeAllowed === undefined) {
-    return reject(CALLER_HEADERS.deadline, 'milliseconds, a whole number from 1');
+    return rejectHeader(CALLER_HEADERS.deadline, 'milliseconds, a whole number from 1');
   }
-  const className = readOne(request, CALLER_HEADERS.class) ?? DEFAULT_CLASS;
-  const idempotencyKey = readOne(request, CALLER_HEADERS.idempotencyKey);
-  if (idempotencyKey !== undefined && (idempotencyKey === '' || idempotencyKey.length > MAX_KEY)) {
-    return reject(CALLER_HEADERS.idempotencyKey, `1 to ${MAX_KEY} characters`);
+  const className = readHeader(request, CALLER_HEADERS.class) ?? DEFAULT_CLASS;
+  const idempotencyKey = readHeader(request, CALLER_HEADERS.idempotencyKey);
+  if (
+    idempotencyKey !== undefined &&
+    (idempotencyKey === '' || idempotencyKey.length > MAX_IDEMPOTENCY_KEY_LENGTH)
+  ) {
+    return rejectHeader(
+      CALLER_HEADERS.idempotencyKey,
+      `1 to ${MAX_IDEMPOTENCY_KEY_LENGTH} characters`,
+    );
   }
-  const target = request.url ?? '/';
+  const requestTarget = request.url ?? '/';
   const callerAddress = request.socket.remoteAddress ?? 'unknown';
-  const caller = (readOne(request, CALLER_HEADERS.caller) ?? callerAddress).slice(0, MAX_CALLER);
+  const caller = (readHeader(request, CALLER_HEADERS.caller) ?? callerAddress).slice(
+    0,
+    MAX_CALLER_LENGTH,
+  );
   return Right({
     id,
     method: request.method ?? 'GET',
-    target,
-    path: target.split('?', 1)[0] ?? target,
+    requestTarget,
+    path: requestTarget.split('?', 1)[0] ?? requestTarget,
     host: request.headers.host ?? '',
     caller,
     callerAddress,
@@ -102,7 +111,7 @@
     idempotencyKey,
     timeAllowed,
     receivedAt: now,
-    bytes: readBytes(request),
+    bodyLength: readBodyLength(request),
     isRetry: request.headers[CALLER_HEADERS.retry] !== undefined,
   });
 }
@@ -110,13 +119,13 @@
 /** Finds the class of work of a call; an unknown name gets the default class, or the last one. */
 export function findClass(service: Service, name: string): ClassConfig {
   const { classes } = service;
-  const named = classes.find((candidate) => candidate.name === name);
+  const match = classes.find((candidate) => candidate.name === name);
   const fallback = classes.find((candidate) => candidate.name === DEFAULT_CLASS);
-  return named ?? fallback ?? (classes.at(-1) as ClassConfig);
+  return match ?? fallback ?? (classes.at(-1) as ClassConfig);
 }
 
 /** Shows a call to the policies. */
-export function viewCall(call: Call, request: IncomingMessage, now: number): CallView {
+export function createCallView(call: Call, request: IncomingMessage, now: number): CallView {
   const headers: Record<string, string> = {};
   for (const [name, value] of Object.entries(request.headers)) {
     if (value !== undefined) headers[name] = Array.isArray(value) ? value.join(', ') : value;
@@ -127,9 +136,9 @@
     caller: call.caller,
     class: call.className,
     repeatable: call.repeatable,
-    bytes: call.bytes,
+    bytes: call.bodyLength,
     deadline: call.timeAllowed - (now - call.receivedAt),
-    draw: hashPair('draw', call.caller) / DRAW_RANGE,
+    draw: hashPair('draw', call.caller) / HASH_RANGE,
     headers,
   };
 }
--- a/src/proxy/forwarder.ts
+++ b/src/proxy/forwarder.ts
@@ -12,7 +12,7 @@
 import type { ClassConfig } from '../config/index.js';
 import type { Hold } from '../policy/index.js';
 import { AnswerGate, type Attempt, type AttemptResult, startAttempt } from './attempt.js';
-import { type Body, inviteBody, isReplayable } from './body.js';
+import { type Body, sendContinue, isReplayable } from './body.js';
 import type { Call } from './call.js';
 import { buildTargetHeaders } from './headers.js';
 import { SendLedger } from './ledger.js';
@@ -30,16 +30,16 @@
   readonly pool: Pool;
   readonly class: ClassConfig;
   readonly hold: Hold | undefined;
-  readonly retries: ShareBudget;
-  readonly hedges: ShareBudget;
-  readonly clientOf: (target: Target) => Dispatcher;
+  readonly retryBudget: ShareBudget;
+  readonly hedgeBudget: ShareBudget;
+  readonly findClient: (target: Target) => Dispatcher;
   readonly clock: Clock;
   /** Called when a target says that it is leaving. */
-  readonly onLeaving: (target: string) => void;
+  readonly onTargetLeaving: (target: string) => void;
 }
 
 /** A call with its two streams. */
-export interface Exchange {
+export interface ForwardedCall {
   readonly call: Call;
   readonly body: Body;
   readonly request: IncomingMessage;
@@ -56,13 +56,13 @@
 }
 
 /** Reason of the signal that ends calls because the daemon stops. */
-export const STOPPING = 'stopping';
+export const STOPPING_REASON = 'stopping';
 
-const MAX_TRIES = 4;
-const MIN_HEDGE_DELAY = 2;
-const RETRIED_STATUS = new Set([502, 503, 504]);
+const MAX_ATTEMPTS = 4;
+const MIN_HEDGE_DELAY_MS = 2;
+const RETRYABLE_STATUSES = new Set([502, 503, 504]);
 
-function describeEnd(result: AttemptResult): AttemptEnd {
+function createAttemptEnd(result: AttemptResult): AttemptEnd {
   switch (result.kind) {
     case 'relayed':
     case 'discarded':
@@ -92,30 +92,30 @@
 
   readonly #deadline: number;
 
-  readonly #running = new Set<Attempt>();
+  readonly #runningAttempts = new Set<Attempt>();
 
-  #expired = false;
+  #isExpired = false;
 
   /** What the call has cost so far. */
   readonly cost: CallCost = { retries: 0, hedges: 0, waited: 0 };
 
   constructor(
     private readonly context: ForwardContext,
-    private readonly exchange: Exchange,
+    private readonly forwarded: ForwardedCall,
   ) {
-    this.#ledger = new SendLedger(exchange.call.repeatable);
-    this.#deadline = exchange.call.receivedAt + exchange.call.timeAllowed;
+    this.#ledger = new SendLedger(forwarded.call.repeatable);
+    this.#deadline = forwarded.call.receivedAt + forwarded.call.timeAllowed;
   }
 
   /** Serves the call to its end. An outcome that is returned has not been written yet. */
   async run(): Promise<CallEnd> {
     const { clock } = this.context;
-    const { signal } = this.exchange;
+    const { signal } = this.forwarded;
     const abortAll = (reason: string) => {
-      for (const attempt of this.#running) attempt.abort(reason);
+      for (const attempt of this.#runningAttempts) attempt.abort(reason);
     };
     const timer = clock.schedule(this.#deadline - clock.now(), () => {
-      this.#expired = true;
+      this.#isExpired = true;
       abortAll('deadline');
     });
     const onGone = () => abortAll('caller gone');
@@ -129,25 +129,26 @@
   }
 
   async #tryTargets(): Promise<CallEnd> {
-    for (let tries = 1; ; tries += 1) {
-      const slot = await this.context.pool.takeSlot(this.#buildRequest());
+    for (let attemptNumber = 1; ; attemptNumber += 1) {
+      const slot = await this.context.pool.takeSlot(this.#createSlotRequest());
       if (slot.kind === 'refused') {
-        if (slot.reason === 'cancelled') return this.#concludeAborted();
-        return this.#tellNotRun(slot.reason, `no slot: ${slot.reason}`, slot.retryAfter);
+        if (slot.reason === 'cancelled') return this.#finishAborted();
+        return this.#reportNotRun(slot.reason, `no slot: ${slot.reason}`, slot.retryAfter);
       }
       this.cost.waited += slot.waited;
-      if (tries === 1) this.context.retries.earn();
-      const result = await this.#runHedged(slot, tries);
-      const end = this.#conclude(result, slot.target);
+      if (attemptNumber === 1) this.context.retryBudget.earn();
+      const result = await this.#runHedged(slot, attemptNumber);
+      const end = this.#interpretResult(result, slot.target);
       if (end !== 'try-again') return end;
-      const paid = result.kind === 'discarded' || this.context.retries.spend();
-      if (!paid || tries >= MAX_TRIES || !this.#mayRetry()) return this.#giveUp(result);
+      const hasBudget = result.kind === 'discarded' || this.context.retryBudget.spend();
+      if (!hasBudget || attemptNumber >= MAX_ATTEMPTS || !this.#mayRetry())
+        return this.#finishFailed(result);
       this.cost.retries += 1;
     }
   }
 
-  #buildRequest(): SlotRequest {
-    const { call, signal } = this.exchange;
+  #createSlotRequest(): SlotRequest {
+    const { call, signal } = this.forwarded;
     return {
       ...{ class: this.context.class, hold: this.context.hold, caller: call.caller },
       ...{ deadline: this.#deadline, signal, tried: this.#tried, repeatable: call.repeatable },
@@ -155,11 +156,11 @@
   }
 
   /** Runs an attempt in a slot, and a second one beside it when the first takes unusually long. */
-  async #runHedged(slot: Slot, tries: number): Promise<AttemptResult> {
-    const first = this.#start(slot, tries);
-    const delay = Math.max(MIN_HEDGE_DELAY, this.context.pool.hedgeDelay);
+  async #runHedged(slot: Slot, attemptNumber: number): Promise<AttemptResult> {
+    const first = this.#startAttempt(slot, attemptNumber);
+    const delay = Math.max(MIN_HEDGE_DELAY_MS, this.context.pool.hedgeDelay);
     if (!this.#mayHedge(delay)) return first.ended;
-    this.context.hedges.earn();
+    this.context.hedgeBudget.earn();
     let second: Promise<AttemptResult> | undefined;
     const timer = this.context.clock.schedule(delay, () => {
       second = this.#startHedge();
@@ -172,72 +173,72 @@
   }
 
   #startHedge(): Promise<AttemptResult> | undefined {
-    if (this.#gate.taken) return undefined;
-    const slot = this.context.pool.takeFreeSlot(this.#buildRequest());
+    if (this.#gate.isClaimed) return undefined;
+    const slot = this.context.pool.takeFreeSlot(this.#createSlotRequest());
     if (slot === undefined) return undefined;
-    if (!this.context.hedges.spend()) {
+    if (!this.context.hedgeBudget.spend()) {
       slot.release({ kind: 'cancelled' });
       return undefined;
     }
     this.cost.hedges += 1;
-    return this.#start(slot, 2).ended;
+    return this.#startAttempt(slot, 2).ended;
   }
 
-  #start(slot: Slot, tries: number): { readonly ended: Promise<AttemptResult> } {
-    const { call, body, request, response } = this.exchange;
+  #startAttempt(slot: Slot, attemptNumber: number): { readonly ended: Promise<AttemptResult> } {
+    const { call, body, request, response } = this.forwarded;
     this.#tried.add(slot.target);
-    if (body.kind === 'stream') inviteBody(request, response);
-    const left = this.#deadline - this.context.clock.now();
+    if (body.kind === 'stream') sendContinue(request, response);
+    const timeLeft = this.#deadline - this.context.clock.now();
     const headers = buildTargetHeaders(request.rawHeaders, {
-      ...{ call: call.id, left, callerAddress: call.callerAddress },
+      ...{ callId: call.id, timeLeft, callerAddress: call.callerAddress },
       forwardedFor: request.headers['x-forwarded-for'] as string | undefined,
-      isRetry: call.isRetry || tries > 1,
+      isRetry: call.isRetry || attemptNumber > 1,
     });
     const attempt = startAttempt({
-      ...{ client: this.context.clientOf(slot.target), call, headers, body, response },
+      ...{ client: this.context.findClient(slot.target), call, headers, body, response },
       gate: this.#gate,
-      discards: (status) =>
-        RETRIED_STATUS.has(status) &&
-        tries < MAX_TRIES &&
+      isDiscarded: (status) =>
+        RETRYABLE_STATUSES.has(status) &&
+        attemptNumber < MAX_ATTEMPTS &&
         this.#mayRetry() &&
-        this.context.retries.spend(),
-      isTimely: () => this.context.clock.now() < this.#deadline,
-      onSent: () => this.#ledger.noteSent(),
-      onNotRun: () => this.#ledger.noteNotRun(),
+        this.context.retryBudget.spend(),
+      isBeforeDeadline: () => this.context.clock.now() < this.#deadline,
+      onSent: () => this.#ledger.recordSent(),
+      onNotRun: () => this.#ledger.recordNotRun(),
       onReport: (report) => {
         slot.target.recordReport(report);
-        if (report.state === 'draining') this.context.onLeaving(slot.target.name);
+        if (report.state === 'draining') this.context.onTargetLeaving(slot.target.name);
       },
     });
-    this.#running.add(attempt);
+    this.#runningAttempts.add(attempt);
     const ended = attempt.done.then((result) => {
-      this.#running.delete(attempt);
-      slot.release(describeEnd(result));
+      this.#runningAttempts.delete(attempt);
+      slot.release(createAttemptEnd(result));
       return result;
     });
     return { ended };
   }
 
   #mayHedge(delay: number): boolean {
-    const { call, body } = this.exchange;
+    const { call, body } = this.forwarded;
     return call.repeatable && !call.isRetry && body.kind === 'none' && Number.isFinite(delay);
   }
 
   #mayRetry(): boolean {
-    const { call, body, signal } = this.exchange;
-    if (signal.aborted || this.#expired || call.isRetry) return false;
+    const { call, body, signal } = this.forwarded;
+    if (signal.aborted || this.#isExpired || call.isRetry) return false;
     if (!call.repeatable && this.#ledger.mayHaveRun) return false;
     return isReplayable(body);
   }
 
-  #conclude(result: AttemptResult, target: Target): CallEnd | 'try-again' {
+  #interpretResult(result: AttemptResult, target: Target): CallEnd | 'try-again' {
     switch (result.kind) {
       case 'relayed':
         return { kind: 'answered', status: result.status, target: target.name };
       case 'cut':
         return { kind: 'cut', target: target.name, detail: result.detail };
       case 'cancelled':
-        return this.#concludeCancelled(result.sent);
+        return this.#finishCancelled(result.sent);
       case 'not-run':
       case 'lost':
       case 'discarded':
@@ -248,28 +249,28 @@
   }
 
   /** Ends a call whose caller went away, or that this daemon ends because it stops. */
-  #concludeAborted(): CallEnd {
-    if (this.exchange.signal.reason !== STOPPING) return { kind: 'gone' };
+  #finishAborted(): CallEnd {
+    if (this.forwarded.signal.reason !== STOPPING_REASON) return { kind: 'gone' };
     const detail = 'this entry stopped before the call ended';
     return this.#ledger.mayHaveRun
       ? { kind: 'told', outcome: createUnknown('stopping', detail) }
-      : this.#tellNotRun('stopping', detail, 1000);
+      : this.#reportNotRun('stopping', detail, 1000);
   }
 
-  #concludeCancelled(sent: boolean): CallEnd {
-    if (this.exchange.signal.aborted) return this.#concludeAborted();
+  #finishCancelled(sent: boolean): CallEnd {
+    if (this.forwarded.signal.aborted) return this.#finishAborted();
     if (!sent && !this.#ledger.mayHaveRun) {
-      return this.#tellNotRun('deadline', 'the deadline passed before the call was sent', 0);
+      return this.#reportNotRun('deadline', 'the deadline passed before the call was sent', 0);
     }
     const detail = 'the deadline passed while a target had the call';
     return { kind: 'told', outcome: createUnknown('deadline', detail) };
   }
 
-  #giveUp(result: AttemptResult): CallEnd {
+  #finishFailed(result: AttemptResult): CallEnd {
     if (result.kind === 'not-run' && !this.#ledger.mayHaveRun) {
       const { cause } = result;
       const detail = cause.kind === 'target-shed' ? 'targets have no room' : cause.detail;
-      return this.#tellNotRun(cause.kind, detail, 1000);
+      return this.#reportNotRun(cause.kind, detail, 1000);
     }
     if (result.kind === 'lost') {
       return { kind: 'told', outcome: createUnknown(result.reason, result.detail) };
@@ -278,14 +279,14 @@
     return { kind: 'told', outcome: createUnknown('connection-lost', detail) };
   }
 
-  #tellNotRun(
+  #reportNotRun(
     reason: Parameters<typeof createNotRun>[0],
     detail: string,
     retryAfter: number,
   ): CallEnd {
     if (this.#ledger.mayHaveRun) {
-      const told = createUnknown('connection-lost', 'an earlier attempt may have run');
-      return { kind: 'told', outcome: told };
+      const outcome = createUnknown('connection-lost', 'an earlier attempt may have run');
+      return { kind: 'told', outcome };
     }
     this.#ledger.assertNotRun();
     return { kind: 'told', outcome: createNotRun(reason, detail, retryAfter) };
--- a/src/proxy/door.ts
+++ b/src/proxy/head-check.ts
@@ -3,7 +3,7 @@
 import { listPairs } from './headers.js';
 
 /** Why a request is turned away, as an HTTP status with a reason. */
-export interface Refusal {
+export interface HeadRefusal {
   readonly status: number;
   readonly detail: string;
 }
@@ -12,26 +12,32 @@
 export const MAX_HEADER_FIELDS = 100;
 
 /** Longest request target, in bytes. */
-export const MAX_TARGET = 8192;
+export const MAX_TARGET_BYTES = 8192;
 
-const ONCE = new Set(['host', 'content-length', 'transfer-encoding', 'idempotency-key']);
-const DOT_SEGMENT = /(?:^|[/\\])(?:\.|%2e){1,2}(?:[/\\]|%2f|%5c|$)/i;
-const TOKEN = /^[!#$%&'*+.^_`|~\w-]+$/;
-const HOST = /^[\w.-]+(?::\d{1,5})?$/;
+const SINGLE_VALUE_HEADERS = new Set([
+  'host',
+  'content-length',
+  'transfer-encoding',
+  'idempotency-key',
+]);
+const DOT_SEGMENT_PATTERN = /(?:^|[/\\])(?:\.|%2e){1,2}(?:[/\\]|%2f|%5c|$)/i;
+const TOKEN_PATTERN = /^[!#$%&'*+.^_`|~\w-]+$/;
+const HOST_PATTERN = /^[\w.-]+(?::\d{1,5})?$/;
 
-function refuse(status: number, detail: string): Refusal {
+function refuse(status: number, detail: string): HeadRefusal {
   return { status, detail };
 }
 
-function checkFields(request: IncomingMessage): Refusal | undefined {
+function checkFields(request: IncomingMessage): HeadRefusal | undefined {
   const seen = new Set<string>();
   let count = 0;
   for (const [name, value] of listPairs(request.rawHeaders)) {
     const lower = name.toLowerCase();
     count += 1;
     if (count > MAX_HEADER_FIELDS) return refuse(431, `more than ${MAX_HEADER_FIELDS} headers`);
-    if (!TOKEN.test(name)) return refuse(400, 'a header name is not a token');
-    if (ONCE.has(lower) && seen.has(lower)) return refuse(400, `header ${lower} stands twice`);
+    if (!TOKEN_PATTERN.test(name)) return refuse(400, 'a header name is not a token');
+    if (SINGLE_VALUE_HEADERS.has(lower) && seen.has(lower))
+      return refuse(400, `header ${lower} stands twice`);
     if (value.includes('\n') || value.includes('\r')) return refuse(400, 'a folded header');
     seen.add(lower);
   }
@@ -41,21 +47,22 @@
   return undefined;
 }
 
-function checkTarget(target: string): Refusal | undefined {
-  if (target.length > MAX_TARGET) return refuse(414, `a target longer than ${MAX_TARGET} bytes`);
+function checkRequestTarget(target: string): HeadRefusal | undefined {
+  if (target.length > MAX_TARGET_BYTES)
+    return refuse(414, `a target longer than ${MAX_TARGET_BYTES} bytes`);
   if (target === '*') return undefined;
   if (!target.startsWith('/')) return refuse(400, 'a target that is not a path');
   const [path = ''] = target.split('?', 1);
-  if (DOT_SEGMENT.test(path)) return refuse(400, 'a path with dot segments');
+  if (DOT_SEGMENT_PATTERN.test(path)) return refuse(400, 'a path with dot segments');
   return undefined;
 }
 
 /** Checks the head of a request; undefined lets it in. */
-export function checkHead(request: IncomingMessage): Refusal | undefined {
-  const fields = checkFields(request);
-  if (fields !== undefined) return fields;
+export function checkHead(request: IncomingMessage): HeadRefusal | undefined {
+  const refusal = checkFields(request);
+  if (refusal !== undefined) return refusal;
   const { host } = request.headers;
-  if (host === undefined || !HOST.test(host)) return refuse(400, 'no valid Host');
+  if (host === undefined || !HOST_PATTERN.test(host)) return refuse(400, 'no valid Host');
   const coding = request.headers['transfer-encoding'];
   if (coding !== undefined && coding.toLowerCase() !== 'chunked') {
     return refuse(501, 'a transfer coding other than chunked');
@@ -64,7 +71,7 @@
   if (expectation !== undefined && expectation.toLowerCase() !== '100-continue') {
     return refuse(417, 'an expectation other than 100-continue');
   }
-  return checkTarget(request.url ?? '');
+  return checkRequestTarget(request.url ?? '');
 }
 
 /**
--- a/src/proxy/headers.ts
+++ b/src/proxy/headers.ts
@@ -31,12 +31,12 @@
   ...['te', 'trailer', 'transfer-encoding', 'upgrade', 'expect'],
 ]);
 
-const OWN_TO_TARGET = new Set<string>([
+const REMOVED_FROM_REQUESTS = new Set<string>([
   ...[CALL_HEADER, RELAY_HEADER, REPORT_HEADER, CALLER_HEADERS.deadline, OUTCOME_HEADER],
   ...['orchidbeam-retry', 'x-forwarded-for'],
 ]);
 
-const OWN_TO_CALLER = new Set<string>([REPORT_HEADER, OUTCOME_HEADER, CALL_HEADER]);
+const REMOVED_FROM_ANSWERS = new Set<string>([REPORT_HEADER, OUTCOME_HEADER, CALL_HEADER]);
 
 /** Headers as a flat list: name, value, name, value. */
 export type FlatHeaders = readonly string[];
@@ -64,52 +64,52 @@
   return tokens;
 }
 
-function filterHeaders(flat: FlatHeaders, drops: (name: string) => boolean): string[] {
+function filterHeaders(flat: FlatHeaders, isDropped: (name: string) => boolean): string[] {
   const tokens = listConnectionTokens(flat);
   const kept: string[] = [];
   for (const [name, value] of listPairs(flat)) {
     const lower = name.toLowerCase();
-    if (HOP_BY_HOP.has(lower) || tokens.has(lower) || drops(lower)) continue;
+    if (HOP_BY_HOP.has(lower) || tokens.has(lower) || isDropped(lower)) continue;
     kept.push(name, value);
   }
   return kept;
 }
 
 /** What the entry adds to a call on its way to a target. */
-export interface Addition {
-  readonly call: string;
+export interface TargetHeaderValues {
+  readonly callId: string;
   /** Time left, in milliseconds. */
-  readonly left: number;
+  readonly timeLeft: number;
   readonly callerAddress: string;
   readonly forwardedFor: string | undefined;
   readonly isRetry: boolean;
 }
 
 /** Builds the headers of a call for a target: those of the caller that pass on, and ours. */
-export function buildTargetHeaders(flat: FlatHeaders, addition: Addition): string[] {
-  const headers = filterHeaders(flat, (name) => OWN_TO_TARGET.has(name));
-  headers.push(CALL_HEADER, addition.call);
-  headers.push(CALLER_HEADERS.deadline, String(Math.max(1, Math.floor(addition.left))));
-  const { forwardedFor, callerAddress } = addition;
+export function buildTargetHeaders(flat: FlatHeaders, values: TargetHeaderValues): string[] {
+  const headers = filterHeaders(flat, (name) => REMOVED_FROM_REQUESTS.has(name));
+  headers.push(CALL_HEADER, values.callId);
+  headers.push(CALLER_HEADERS.deadline, String(Math.max(1, Math.floor(values.timeLeft))));
+  const { forwardedFor, callerAddress } = values;
   headers.push(
     'x-forwarded-for',
     forwardedFor === undefined ? callerAddress : `${forwardedFor}, ${callerAddress}`,
   );
-  if (addition.isRetry) headers.push(CALLER_HEADERS.retry, '1');
+  if (values.isRetry) headers.push(CALLER_HEADERS.retry, '1');
   return headers;
 }
 
 /** Builds the headers of an answer for the caller. */
 export function buildCallerHeaders(
   flat: FlatHeaders,
-  call: string,
-  keepsOutcome = false,
+  callId: string,
+  keepsOutcomeHeader = false,
 ): string[] {
   const headers = filterHeaders(
     flat,
-    (name) => OWN_TO_CALLER.has(name) && !(keepsOutcome && name === OUTCOME_HEADER),
+    (name) => REMOVED_FROM_ANSWERS.has(name) && !(keepsOutcomeHeader && name === OUTCOME_HEADER),
   );
-  headers.push(CALL_HEADER, call);
+  headers.push(CALL_HEADER, callId);
   return headers;
 }
 
@@ -122,28 +122,28 @@
 }
 
 /** A target's report, and whether it says that the call was not run. */
-export interface ReadReport {
+export interface ParsedReport {
   readonly notRun: boolean;
   readonly report: TargetReport;
 }
 
-const WORDS: readonly ReportedState[] = ['ready', 'cold', 'draining'];
-const NO_REPORT: ReadReport = {
+const REPORTED_STATES: readonly ReportedState[] = ['ready', 'cold', 'draining'];
+const NO_REPORT: ParsedReport = {
   notRun: false,
   report: { state: undefined, inFlight: undefined },
 };
 
 /** Reads a report header; parts that cannot be read are ignored. */
-export function readReport(value: string | undefined): ReadReport {
+export function parseReport(value: string | undefined): ParsedReport {
   if (value === undefined) return NO_REPORT;
   let notRun = false;
-  let word: ReportedState | undefined;
+  let reportedState: ReportedState | undefined;
   let inFlight: number | undefined;
   for (const part of value.split(';')) {
     const [name = '', text = ''] = part.trim().split('=');
     if (name === 'not-run') notRun = true;
-    if (name === 'state') word = WORDS.find((known) => known === text);
+    if (name === 'state') reportedState = REPORTED_STATES.find((known) => known === text);
     if (name === 'in-flight' && /^\d{1,6}$/.test(text)) inFlight = Number(text);
   }
-  return { notRun, report: { state: word, inFlight } };
+  return { notRun, report: { state: reportedState, inFlight } };
 }
--- a/src/proxy/server.ts
+++ b/src/proxy/http-listener.ts
@@ -2,7 +2,7 @@
 import http, { type IncomingMessage, type ServerResponse } from 'node:http';
 import type { Duplex } from 'node:stream';
 import type { Address, KeyPair, Listener, Network } from '../kernel/index.js';
-import { type Refusal, checkHead, normalizeTarget } from './door.js';
+import { type HeadRefusal, checkHead, normalizeTarget } from './head-check.js';
 import { createNotRun } from './outcome.js';
 
 /** What a listener is made from. */
@@ -39,8 +39,8 @@
 };
 const BAD_REQUEST = 400;
 const NOT_IMPLEMENTED = 501;
-const KEEP_ALIVE = 30_000;
-const CHECK_INTERVAL = 1000;
+const KEEP_ALIVE_TIMEOUT_MS = 30_000;
+const TIMEOUT_CHECK_INTERVAL_MS = 1000;
 
 function writeRawRefusal(socket: Duplex, status: number, detail: string): void {
   if (!socket.writable) return;
@@ -52,7 +52,7 @@
   );
 }
 
-function refuseRequest(response: ServerResponse, refusal: Refusal): void {
+function refuseRequest(response: ServerResponse, refusal: HeadRefusal): void {
   // The framing of a refused request is not trusted, so its connection ends with the answer.
   response.shouldKeepAlive = false;
   const outcome = createNotRun('bad-request', refusal.detail);
@@ -68,8 +68,8 @@
 /** Starts a listener. */
 export async function startHttpListener(options: HttpListenerOptions): Promise<HttpListener> {
   const sockets = new Set<Duplex>();
-  const busy = new Set<ServerResponse>();
-  let draining = false;
+  const openResponses = new Set<ServerResponse>();
+  let isDraining = false;
 
   function serveRequest(request: IncomingMessage, response: ServerResponse): void {
     normalizeTarget(request);
@@ -79,9 +79,9 @@
       refuseRequest(response, refusal);
       return;
     }
-    busy.add(response);
-    response.on('close', () => busy.delete(response));
-    if (draining) response.shouldKeepAlive = false;
+    openResponses.add(response);
+    response.on('close', () => openResponses.delete(response));
+    if (isDraining) response.shouldKeepAlive = false;
     options.handle(request, response);
   }
 
@@ -89,8 +89,8 @@
     maxHeaderSize: options.maxHeaderBytes,
     headersTimeout: options.headerTimeout,
     requestTimeout: 0,
-    connectionsCheckingInterval: CHECK_INTERVAL,
-    keepAliveTimeout: KEEP_ALIVE,
+    connectionsCheckingInterval: TIMEOUT_CHECK_INTERVAL_MS,
+    keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
     noDelay: true,
     requireHostHeader: false,
   });
@@ -102,19 +102,19 @@
     options.onRefused('CONNECT');
     writeRawRefusal(socket, NOT_IMPLEMENTED, 'CONNECT is not served');
   });
-  const findBusy = (socket: Duplex) =>
-    [...busy].filter((response) => response.req.socket === socket);
+  const findOpenResponses = (socket: Duplex) =>
+    [...openResponses].filter((response) => response.req.socket === socket);
 
   server.on('clientError', (error: NodeJS.ErrnoException, socket) => {
     const { code = '' } = error;
     options.onRefused(code);
-    const calls = findBusy(socket);
-    if (code === 'ECONNRESET' || calls.some((response) => !response.req.complete)) {
+    const responses = findOpenResponses(socket);
+    if (code === 'ECONNRESET' || responses.some((response) => !response.req.complete)) {
       // Part of a call was passed on already, so nothing true can be said of it here.
       socket.destroy();
       return;
     }
-    const last = calls.at(-1);
+    const last = responses.at(-1);
     if (last === undefined) {
       writeRawRefusal(socket, PARSER_STATUS[code] ?? BAD_REQUEST, error.message);
       return;
@@ -125,7 +125,7 @@
   });
   server.setTimeout(options.bodyTimeout, (socket: Duplex) => {
     // A pause while the target works is not the caller's; only an unfinished body is.
-    if (findBusy(socket).some((response) => !response.req.complete)) socket.destroy();
+    if (findOpenResponses(socket).some((response) => !response.req.complete)) socket.destroy();
   });
 
   // The library checks for slow headers only once it believes that it listens itself.
@@ -150,12 +150,14 @@
     countConnections: () => sockets.size,
     replaceKeys: (keys) => listener.replaceKeys(keys),
     async drain() {
-      draining = true;
-      for (const response of busy) response.shouldKeepAlive = false;
+      isDraining = true;
+      for (const response of openResponses) response.shouldKeepAlive = false;
       await listener.close();
-      const occupied = new Set<Duplex>([...busy].map((response) => response.req.socket));
+      const busySockets = new Set<Duplex>(
+        [...openResponses].map((response) => response.req.socket),
+      );
       for (const socket of sockets) {
-        if (!occupied.has(socket)) socket.end();
+        if (!busySockets.has(socket)) socket.end();
       }
     },
     destroy() {
--- a/src/proxy/index.ts
+++ b/src/proxy/index.ts
@@ -6,5 +6,5 @@
 export * from './attempt.js';
 export * from './ledger.js';
 export * from './forwarder.js';
-export * from './door.js';
-export * from './server.js';
+export * from './head-check.js';
+export * from './http-listener.js';
--- a/src/proxy/ledger.ts
+++ b/src/proxy/ledger.ts
@@ -3,32 +3,32 @@
 
 /** Counts the sendings of a call that were not shown to be without effect. */
 export class SendLedger {
-  #open = 0;
+  #possiblyRun = 0;
 
   /** @param repeatable whether the call may be repeated */
   constructor(private readonly repeatable: boolean) {}
 
   /** Notes that the first byte of a sending may have been written. */
-  noteSent(): void {
-    this.#open += 1;
+  recordSent(): void {
+    this.#possiblyRun += 1;
     assertInvariant(
-      this.repeatable || this.#open <= 1,
+      this.repeatable || this.#possiblyRun <= 1,
       'a call that may not be repeated is sent at most once',
     );
   }
 
   /** Notes that a sending was shown not to have run. */
-  noteNotRun(): void {
-    this.#open -= 1;
+  recordNotRun(): void {
+    this.#possiblyRun -= 1;
   }
 
   /** Checks that nothing is left that may have run. */
   assertNotRun(): void {
-    assertInvariant(this.#open === 0, 'not run is said only when no sending may have run');
+    assertInvariant(this.#possiblyRun === 0, 'not run is said only when no sending may have run');
   }
 
   /** Whether a sending is left that may have run. */
   get mayHaveRun(): boolean {
-    return this.#open > 0;
+    return this.#possiblyRun > 0;
   }
 }
--- a/src/proxy/outcome.ts
+++ b/src/proxy/outcome.ts
@@ -68,15 +68,15 @@
 }
 
 /** Returns the HTTP status of an outcome. */
-export function readStatus(outcome: Outcome): number {
+export function getOutcomeStatus(outcome: Outcome): number {
   return outcome.kind === 'not-run'
     ? (NOT_RUN_STATUS[outcome.reason] ?? DEFAULT_NOT_RUN_STATUS)
     : UNKNOWN_STATUS[outcome.reason];
 }
 
 /** Writes an outcome as a problem document (RFC 9457) and ends the response. */
-export function writeOutcome(response: ServerResponse, call: string, outcome: Outcome): void {
-  const status = readStatus(outcome);
+export function writeOutcome(response: ServerResponse, callId: string, outcome: Outcome): void {
+  const status = getOutcomeStatus(outcome);
   const body = JSON.stringify({
     type: `urn:orchidbeam:${outcome.kind}:${outcome.reason}`,
     title: outcome.kind === 'not-run' ? 'The call was not run' : 'The outcome is unknown',
@@ -84,13 +84,13 @@
     detail: outcome.detail,
     outcome: outcome.kind,
     reason: outcome.reason,
-    call,
+    call: callId,
   });
   const headers: Record<string, string | number> = {
     'content-type': 'application/problem+json',
     'content-length': Buffer.byteLength(body),
     [OUTCOME_HEADER]: outcome.kind,
-    'orchidbeam-call': call,
+    'orchidbeam-call': callId,
   };
   if (outcome.kind === 'not-run' && outcome.retryAfter > 0) {
     headers['retry-after'] = Math.max(1, Math.ceil(outcome.retryAfter / 1000));
--- a/test/decisions.test.ts
+++ b/test/decisions.test.ts
@@ -5,7 +5,7 @@
 import {
   Fleet,
   type Reply,
-  type Sending,
+  type RequestOptions,
   putDocuments,
   send,
   waitUntil,
@@ -28,10 +28,13 @@
     entry = await fleet.start();
   };
 
-  const sendMany = async (count: number, sending: Sending = {}): Promise<readonly Reply[]> => {
+  const sendMany = async (
+    count: number,
+    options: RequestOptions = {},
+  ): Promise<readonly Reply[]> => {
     const replies: Reply[] = [];
     for (let turn = 0; turn < count; turn += 1)
-      replies.push(await send(entry.callersAddress, sending));
+      replies.push(await send(entry.callersAddress, options));
     return replies;
   };
 
@@ -77,7 +80,7 @@
     targets[0]?.setFault({ kind: 'hang' });
     const replies = await sendMany(40, { headers: { 'orchidbeam-deadline': '5000' } });
     expect(replies.filter(({ status }) => status === 200)).to.have.length(40);
-    expect(entry.table.findByName('test')?.hedges.spent).to.be.above(0);
+    expect(entry.table.findByName('test')?.hedgeBudget.spent).to.be.above(0);
   });
 
   it('a policy refuses one caller and tells it why', async () => {
@@ -124,19 +127,19 @@
     // Long enough that all have come before the first ones end, also on a busy machine.
     await open(1, '', classes, 300);
     const order: string[] = [];
-    const note = (name: string) => () => {
+    const recordOrder = (name: string) => () => {
       order.push(name);
     };
     const calls: Promise<void>[] = [];
     for (let turn = 0; turn < 16; turn += 1) {
-      calls.push(send(entry.callersAddress).then(note('normal')));
+      calls.push(send(entry.callersAddress).then(recordOrder('normal')));
     }
     await waitUntil(
       () => (entry.table.findByName('test')?.listPools()[0]?.pool.readLoad().waiting ?? 0) >= 12,
       'they wait',
     );
     const urgent = { headers: { 'orchidbeam-class': 'urgent' } };
-    calls.push(send(entry.callersAddress, urgent).then(note('urgent')));
+    calls.push(send(entry.callersAddress, urgent).then(recordOrder('urgent')));
     await Promise.all(calls);
     expect(order.indexOf('urgent')).to.be.below(12);
   });
--- a/test/door.test.ts
+++ b/test/door.test.ts
@@ -8,7 +8,7 @@
 const HEAD = 'Host: test.example\r\n';
 const LONG = 'x'.repeat(9000);
 
-interface Row {
+interface RequestCase {
   readonly what: string;
   readonly bytes: string;
   /** Statuses of all answers, in order; none for a connection that just ends. */
@@ -17,7 +17,7 @@
   readonly calls: number;
 }
 
-const REFUSED: readonly Row[] = [
+const REFUSED_REQUESTS: readonly RequestCase[] = [
   {
     what: 'both lengths',
     bytes: `POST / HTTP/1.1\r\n${HEAD}Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /x HTTP/1.1\r\n${HEAD}\r\n`,
@@ -149,7 +149,7 @@
   },
 ];
 
-const ACCEPTED: readonly Row[] = [
+const ACCEPTED_REQUESTS: readonly RequestCase[] = [
   {
     what: 'two pipelined calls, answered in order',
     bytes: `GET /1 HTTP/1.1\r\n${HEAD}\r\nGET /2 HTTP/1.1\r\n${HEAD}Connection: close\r\n\r\n`,
@@ -182,7 +182,7 @@
   },
 ];
 
-const BROKEN: readonly Row[] = [
+const BROKEN_BODIES: readonly RequestCase[] = [
   {
     what: 'a bad chunk size',
     bytes: `POST / HTTP/1.1\r\n${HEAD}Transfer-Encoding: chunked\r\n\r\nzz\r\nabc\r\n0\r\n\r\n`,
@@ -225,7 +225,7 @@
   const readStatuses = (text: string) =>
     [...text.matchAll(/HTTP\/1\.1 (\d{3}) /g)].map(([, status]) => Number(status));
 
-  const check = ({ what, bytes, statuses, calls }: Row) =>
+  const testRequest = ({ what, bytes, statuses, calls }: RequestCase) =>
     it(what, async () => {
       const before = target.counts.calls;
       const text = await exchange(bytes);
@@ -235,15 +235,15 @@
     });
 
   describe('turns away', () => {
-    for (const row of REFUSED) check(row);
+    for (const row of REFUSED_REQUESTS) testRequest(row);
   });
 
   describe('lets in', () => {
-    for (const row of ACCEPTED) check(row);
+    for (const row of ACCEPTED_REQUESTS) testRequest(row);
   });
 
   describe('ends a call whose body breaks off', () => {
-    for (const { what, bytes } of BROKEN) {
+    for (const { what, bytes } of BROKEN_BODIES) {
       it(what, async () => {
         const text = await exchange(bytes);
         expect(readStatuses(text)).to.deep.equal([]);
--- a/test/entry.test.ts
+++ b/test/entry.test.ts
@@ -8,14 +8,14 @@
 import { runSoak } from '../src/tool/index.js';
 import {
   Fleet,
-  type Sending,
+  type RequestOptions,
   putDocuments,
   send,
   waitUntil,
   writeService,
 } from './helpers/fleet.js';
 
-const POSTING: Sending = {
+const POST_WITH_KEY: RequestOptions = {
   ...{ method: 'POST', path: '/postings', body: 'x' },
   headers: { 'idempotency-key': 'k-1', 'x-token': 't', 'content-length': 1 },
 };
@@ -55,7 +55,7 @@
     it('carries an outcome of the home unchanged', async () => {
       await open(2);
       target.setFault({ kind: 'shed' });
-      const reply = await send(findOther().callersAddress, POSTING);
+      const reply = await send(findOther().callersAddress, POST_WITH_KEY);
       expect(reply.headers['orchidbeam-outcome']).to.equal('not-run');
       expect(JSON.parse(reply.text)).to.include({ reason: 'target-shed' });
     });
@@ -91,12 +91,12 @@
   describe('a caller that knows only one of two homes', () => {
     it('has its waiting calls served by the targets of the other one too', async () => {
       fleet = new Fleet();
-      const pair = [
+      const targets = [
         await fleet.startTarget({ serviceTime: 100 }),
         await fleet.startTarget({ serviceTime: 100 }),
       ];
       const text = writeService(
-        pair.map(({ address }) => address),
+        targets.map(({ address }) => address),
         'homes = 2',
         '[class normal]\nwait = 10s',
       );
@@ -110,14 +110,14 @@
       const calls = Array.from({ length: 40 }, () => send(known.callersAddress));
       const replies = await Promise.all(calls);
       expect(replies.every(({ status }) => status === 200)).to.equal(true);
-      for (const { counts } of pair) expect(counts.calls).to.be.above(5);
+      for (const { counts } of targets) expect(counts.calls).to.be.above(5);
     });
   });
 
   describe('a posting that may run only once', () => {
     it('runs once when the same key comes to every entry at the same time', async () => {
       await open(3);
-      const replies = await Promise.all(entries.map((e) => send(e.callersAddress, POSTING)));
+      const replies = await Promise.all(entries.map((e) => send(e.callersAddress, POST_WITH_KEY)));
       expect(replies.filter(({ status }) => status === 201)).to.have.length(1);
       for (const { headers } of replies.filter(({ status }) => status !== 201)) {
         expect(headers['orchidbeam-outcome']).to.equal('unknown');
@@ -128,10 +128,10 @@
     it('does not run again at a daemon that was restarted with empty memory', async () => {
       await open(1);
       const [first] = entries as [Entry];
-      await send(first.callersAddress, POSTING);
+      await send(first.callersAddress, POST_WITH_KEY);
       first.destroy();
       const fresh = await fleet.start();
-      const reply = await send(fresh.callersAddress, POSTING);
+      const reply = await send(fresh.callersAddress, POST_WITH_KEY);
       expect(reply.headers['orchidbeam-outcome']).to.equal('unknown');
       expect(JSON.parse(reply.text)).to.include({ reason: 'duplicate' });
       expect(target.runs.get('k-1')).to.equal(1);
@@ -141,10 +141,10 @@
       await open(1);
       const [entry] = entries as [Entry];
       fleet.store.setFault({ kind: 'down' });
-      const refused = await send(entry.callersAddress, POSTING);
+      const refused = await send(entry.callersAddress, POST_WITH_KEY);
       expect(refused.headers['orchidbeam-outcome']).to.equal('not-run');
       fleet.store.setFault({ kind: 'none' });
-      expect((await send(entry.callersAddress, POSTING)).status).to.equal(201);
+      expect((await send(entry.callersAddress, POST_WITH_KEY)).status).to.equal(201);
       expect(target.runs.get('k-1')).to.equal(1);
     });
 
@@ -152,16 +152,16 @@
       await open(1);
       const [entry] = entries as [Entry];
       target.setFault({ kind: 'shed' });
-      await send(entry.callersAddress, POSTING);
+      await send(entry.callersAddress, POST_WITH_KEY);
       target.setFault({ kind: 'none' });
-      expect((await send(entry.callersAddress, POSTING)).status).to.equal(201);
+      expect((await send(entry.callersAddress, POST_WITH_KEY)).status).to.equal(201);
     });
 
     it('runs once although the reply of the platform is lost', async () => {
       await open(2);
       fleet.store.setFault({ kind: 'lose-write-replies' });
       const [a, b] = entries as [Entry, Entry];
-      const replies = await Promise.all([a, b].map((e) => send(e.callersAddress, POSTING)));
+      const replies = await Promise.all([a, b].map((e) => send(e.callersAddress, POST_WITH_KEY)));
       expect(target.runs.get('k-1') ?? 0).to.be.at.most(1);
       for (const reply of replies) expect(reply.status).not.to.equal(200);
     });
@@ -169,8 +169,8 @@
     it('refuses a key that belongs to another path', async () => {
       await open(1);
       const [entry] = entries as [Entry];
-      await send(entry.callersAddress, POSTING);
-      const reply = await send(entry.callersAddress, { ...POSTING, path: '/deposits' });
+      await send(entry.callersAddress, POST_WITH_KEY);
+      const reply = await send(entry.callersAddress, { ...POST_WITH_KEY, path: '/deposits' });
       expect(reply.status).to.equal(422);
       expect(reply.headers['orchidbeam-outcome']).to.equal('not-run');
     });
@@ -261,7 +261,7 @@
       await open(1, 'deadline = 60s', LIMITS);
       const [entry] = entries as [Entry];
       target.setFault({ kind: 'hang' });
-      const hanging = send(entry.callersAddress, POSTING);
+      const hanging = send(entry.callersAddress, POST_WITH_KEY);
       await waitUntil(() => target.counts.calls === 1, 'the call arrived');
       await entry.stop(600);
       const reply = await hanging;
@@ -282,7 +282,7 @@
     for (const entry of entries) await send(entry.callersAddress);
     await pause(2000);
     const before = leaving.counts.calls;
-    for (let turn = 0; turn < 30; turn += 1) {
+    for (let round = 0; round < 30; round += 1) {
       for (const entry of entries) await send(entry.callersAddress);
     }
     expect(leaving.counts.calls).to.equal(before);
--- a/test/helpers/fleet.ts
+++ b/test/helpers/fleet.ts
@@ -15,7 +15,7 @@
 }
 
 /** What to send. */
-export interface Sending {
+export interface RequestOptions {
   readonly method?: string;
   readonly path?: string;
   readonly headers?: http.OutgoingHttpHeaders;
@@ -23,11 +23,11 @@
 }
 
 /** Sends one request to an entry, for the service of {@link writeService}. */
-export function send(to: Address, sending: Sending = {}): Promise<Reply> {
+export function send(to: Address, options: RequestOptions = {}): Promise<Reply> {
   return new Promise((resolve, reject) => {
     const request = http.request({
-      ...{ host: to.host, port: to.port, method: sending.method ?? 'GET', agent: false },
-      ...{ path: sending.path ?? '/', headers: { host: 'test.example', ...sending.headers } },
+      ...{ host: to.host, port: to.port, method: options.method ?? 'GET', agent: false },
+      ...{ path: options.path ?? '/', headers: { host: 'test.example', ...options.headers } },
     });
     request.on('error', reject);
     request.on('response', (response) => {
@@ -43,15 +43,15 @@
         }),
       );
     });
-    request.end(sending.body);
+    request.end(options.body);
   });
 }
 
 /** Waits until a condition holds. */
-export async function waitUntil(holds: () => boolean, what: string): Promise<void> {
-  for (let turn = 0; turn < 500; turn += 1) {
-    if (holds()) return;
+export async function waitUntil(condition: () => boolean, description: string): Promise<void> {
+  for (let poll = 0; poll < 500; poll += 1) {
+    if (condition()) return;
     await pause(20);
   }
-  throw new Error(`never came true: ${what}`);
+  throw new Error(`never came true: ${description}`);
 }
--- a/test/proxy.test.ts
+++ b/test/proxy.test.ts
@@ -4,10 +4,15 @@
 import { InvariantError } from '../src/kernel/index.js';
 import { SendLedger } from '../src/proxy/index.js';
 import type { TargetFault, TargetServer } from '../src/standin/index.js';
-import { Fleet, type Sending, putDocuments, send, writeService } from './helpers/fleet.js';
+import { Fleet, type RequestOptions, putDocuments, send, writeService } from './helpers/fleet.js';
 
-const POST: Sending = { method: 'POST', path: '/postings', body: 'x', headers: { 'x-token': 't' } };
-const GET: Sending = { headers: { 'x-token': 't' } };
+const POST: RequestOptions = {
+  method: 'POST',
+  path: '/postings',
+  body: 'x',
+  headers: { 'x-token': 't' },
+};
+const GET: RequestOptions = { headers: { 'x-token': 't' } };
 
 interface Expected {
   readonly outcome: string | undefined;
@@ -16,14 +21,14 @@
   readonly whole?: boolean;
 }
 
-interface Row {
+interface FaultCase {
   readonly fault: TargetFault;
   readonly what: string;
-  readonly sending: Sending;
+  readonly sending: RequestOptions;
   readonly expected: Expected;
 }
 
-const ROWS: readonly Row[] = [
+const FAULT_CASES: readonly FaultCase[] = [
   {
     what: 'a healthy target, lookup',
     fault: { kind: 'none' },
@@ -101,21 +106,21 @@
 describe('the ledger of a call', () => {
   it('stops the process when a call that may not be repeated is sent twice', () => {
     const ledger = new SendLedger(false);
-    ledger.noteSent();
-    expect(() => ledger.noteSent()).to.throw(InvariantError);
+    ledger.recordSent();
+    expect(() => ledger.recordSent()).to.throw(InvariantError);
   });
 
   it('lets it be sent again once it was shown not to have run', () => {
     const ledger = new SendLedger(false);
-    ledger.noteSent();
-    ledger.noteNotRun();
-    ledger.noteSent();
+    ledger.recordSent();
+    ledger.recordNotRun();
+    ledger.recordSent();
     expect(ledger.mayHaveRun).to.equal(true);
   });
 
   it('stops the process when not run would be said of a call that may have run', () => {
     const ledger = new SendLedger(true);
-    ledger.noteSent();
+    ledger.recordSent();
     expect(() => ledger.assertNotRun()).to.throw(InvariantError);
   });
 });
@@ -135,7 +140,7 @@
   afterEach(() => fleet.close());
 
   describe('what the caller is told', () => {
-    for (const { what, fault, sending, expected } of ROWS) {
+    for (const { what, fault, sending, expected } of FAULT_CASES) {
       it(`${what}: ${expected.outcome ?? (expected.whole === false ? 'cut' : 'whole')}`, async () => {
         target.setFault(fault);
         const reply = await send(entry.callersAddress, sending);
--- a/test/tls.test.ts
+++ b/test/tls.test.ts
@@ -63,7 +63,7 @@
 
 describe('TLS between entries', () => {
   const SECRET = 'a-secret-of-the-tests';
-  const QUIET: PeerHandlers = {
+  const PEER_HANDLERS: PeerHandlers = {
     exchange: () => Promise.reject(new Error('not used')),
     probe: async () => true,
     fetchConfig: async () => ({ manifest: '', texts: [], proofAge: 0 }),
@@ -82,8 +82,8 @@
   it('lets in peers of the same authority who know the secret, and nobody else', async () => {
     const files = await writeFiles('entry');
     const server = createGrpcTransport(SECRET, files);
-    const { address, close } = await server.serve({ host: '127.0.0.1', port: 0 }, QUIET);
-    const ROWS = [
+    const { address, close } = await server.serve({ host: '127.0.0.1', port: 0 }, PEER_HANDLERS);
+    const CASES = [
       { who: 'a peer', transport: createGrpcTransport(SECRET, files), reached: true },
       {
         who: 'a wrong secret',
@@ -97,7 +97,7 @@
       },
       { who: 'no TLS', transport: createGrpcTransport(SECRET), reached: false },
     ];
-    for (const { who, transport, reached } of ROWS) {
+    for (const { who, transport, reached } of CASES) {
       const result = await transport.connect(address).fetchVms({ reader: '', count: 0 }, 1500);
       expect(result.isRight(), who).to.equal(reached);
       transport.close();
