--- a/src/entry/call-handler.ts
+++ b/src/entry/call-handler.ts
@@ -1,4 +1,4 @@
-/** Serves the calls that arrive at one entry, from the head of the request to its end. */
+/** Handles the calls that arrive at one entry, from the request's head to the end of the response. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { type Clock, type Log, type Metrics, type Random } from '../kernel/index.js';
 import type { Service } from '../config/index.js';
@@ -30,7 +30,7 @@
 import type { ServiceRuntime } from './service-runtime.js';
 import type { ServiceTable } from './service-table.js';
 
-/** What the handler is made from. */
+/** Dependencies and limits of a {@link CallHandler}. */
 export interface CallHandlerOptions {
   readonly table: ServiceTable;
   readonly clients: Clients;
@@ -39,31 +39,38 @@
   readonly random: Random;
   readonly log: Log;
   readonly metrics: Metrics;
+  /** Most calls in flight at once. */
   readonly maxCalls: number;
   readonly logCalls: 'all' | 'failed' | 'none';
+  /** Secret that entries send with the calls they relay to each other. */
   readonly relaySecret: string;
+  /** Member id of this entry. */
   readonly selfId: () => string;
+  /** Whether any configuration is known. */
   readonly isConfigured: () => boolean;
   /** Milliseconds since the configuration was last shown to be current. */
   readonly readProofAge: () => number;
+  /** Called with the address of a target that reports that it is draining. */
   readonly onTargetLeaving: (target: string) => void;
 }
 
-/** A call on its way through the handler. */
+/** A call being handled, with its service and its request and response. */
 interface CallContext {
   readonly runtime: ServiceRuntime;
   readonly call: Call;
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
   readonly signal: AbortSignal;
-  /** Whether another entry handed the call over; it is then served here in any case. */
+  /** Whether another entry relayed the call; it is then always served here. */
   readonly relayed: boolean;
 }
 
 const MAX_TOTAL_BUFFERED_BYTES = 64 * 1024 * 1024;
+
+/** Retry-after of refusals that are expected to pass soon. */
 const RETRY_AFTER_MS = 1000;
 
-/** Serves calls. */
+/** Handles the calls of one entry. */
 export class CallHandler {
   #active = 0;
 
@@ -73,17 +80,17 @@
 
   constructor(private readonly options: CallHandlerOptions) {}
 
-  /** Calls being served now. */
+  /** Number of calls in flight. */
   get activeCalls(): number {
     return this.#active;
   }
 
-  /** Ends all calls in flight; each is told truthfully, or its connection is cut. */
+  /** Ends all calls in flight: each gets its outcome, or its connection is cut if an answer began. */
   abortAll(): void {
     for (const controller of this.#abortControllers) controller.abort(STOPPING_REASON);
   }
 
-  /** Serves one request. */
+  /** Handles one request; `relayed` says that another entry sent it. */
   serve(request: IncomingMessage, response: ServerResponse, relayed: boolean): void {
     const id = readCallId(request, this.options.random);
     const controller = new AbortController();
@@ -94,7 +101,7 @@
     this.#abortControllers.add(controller);
     this.#serveRequest(request, response, { id, relayed, signal: controller.signal })
       .catch((error: Error) => {
-        // A broken invariant must not go on serving.
+        // Only a violated invariant gets here. The process must not go on serving.
         this.options.log.error('call.broken', { call: id, error: error.stack ?? error.message });
         response.destroy();
         throw error;
@@ -102,7 +109,7 @@
       .finally(() => {
         this.#active -= 1;
         this.#abortControllers.delete(controller);
-        // The rest of a body that nobody wants is read and dropped, so that the answer arrives.
+        // Drains the unread rest of the body, so that the caller can receive the answer.
         if (!request.complete && !request.destroyed) request.resume();
       });
   }
@@ -142,15 +149,23 @@
   #findRuntime(request: IncomingMessage): ServiceRuntime | Outcome {
     const { options } = this;
     if (this.#active > options.maxCalls) {
-      return createNotRun('too-many-calls', 'this entry holds its most calls', RETRY_AFTER_MS);
+      return createNotRun(
+        'too-many-calls',
+        'this entry has reached its limit of calls in flight',
+        RETRY_AFTER_MS,
+      );
     }
     if (!options.isConfigured()) {
-      return createNotRun('no-configuration', 'no configuration is known here yet', RETRY_AFTER_MS);
+      return createNotRun(
+        'no-configuration',
+        'this entry has no configuration yet',
+        RETRY_AFTER_MS,
+      );
     }
     const path = (request.url ?? '/').split('?', 1)[0] ?? '/';
     const runtime = options.table.find(request.headers.host ?? '', path);
     if (runtime === undefined) {
-      return createNotRun('unknown-service', 'no service has this host and path');
+      return createNotRun('unknown-service', 'no service matches this host and path');
     }
     return this.#checkFreshness(runtime.service) ?? runtime;
   }
@@ -184,8 +199,8 @@
   }
 
   /**
-   * Returns the home that serves the call, unless this entry should do so itself. A home whose calls
-   * wait shares them with the other homes: callers may still know it as the only one.
+   * Returns the home to relay the call to, or undefined when this entry serves it itself. A home with
+   * waiting calls shares them with the other homes, because its callers may know of no other home yet.
    */
   #chooseOtherHome({ runtime, relayed }: CallContext): Member | undefined {
     const { isHome, sharesTargets, plan } = runtime.placement;
@@ -221,7 +236,7 @@
     return runtime.findPool(name, this.options.table.readVmView(), this.options.selfId());
   }
 
-  /** Reads a short body whole; undefined when the caller ended it early. */
+  /** Buffers a short body; undefined when the caller ended it early. */
   async #readBody({ call, request, response }: CallContext): Promise<Body | undefined> {
     if (call.bodyLength === 0) return { kind: 'none' };
     if (!isBufferable(call) || !this.#buffers.take(call.bodyLength))
@@ -235,7 +250,7 @@
     }
   }
 
-  /** Claims the idempotency key of a call that may not be repeated, then runs the call. */
+  /** Forwards the call; one that may not be repeated first has its idempotency key claimed. */
   async #runAtMostOnce(context: CallContext, ruling: Ruling, body: Body): Promise<CallEnd> {
     const { runtime, call } = context;
     if (call.repeatable || call.idempotencyKey === undefined) {
@@ -260,11 +275,11 @@
         return { kind: 'told', outcome: createUnknown('duplicate', detail) };
       }
       case 'mismatch': {
-        const detail = `the idempotency key belongs to ${claim.request}`;
+        const detail = `the idempotency key was already used for ${claim.request}`;
         return { kind: 'told', outcome: createNotRun('key-reused', detail) };
       }
       case 'unproven': {
-        const detail = `it cannot be shown that the call runs at most once: ${claim.reason}`;
+        const detail = `cannot guarantee that the call runs at most once: ${claim.reason}`;
         return { kind: 'told', outcome: createNotRun('claim-unproven', detail, RETRY_AFTER_MS) };
       }
       default:
--- a/src/entry/clients.ts
+++ b/src/entry/clients.ts
@@ -1,4 +1,4 @@
-/** HTTP connections to targets and to other entries, one pool for each address. */
+/** HTTP clients for targets and for other entries: one connection pool per address. */
 import { type Dispatcher, Pool } from 'undici';
 import { type Address, type Network, formatAddress } from '../kernel/index.js';
 import { createConnector } from '../platform/index.js';
@@ -6,16 +6,19 @@
 const CONNECT_TIMEOUT_MS = 1000;
 const IDLE_TIMEOUT_MS = 4000;
 
-/** Opens and closes the connections of this daemon. */
+/** The connection pools of this daemon, by address. */
 export class Clients {
   readonly #pools = new Map<string, Pool>();
 
-  /** Connections opened since the start. */
+  /** Number of connections opened since the start. */
   connectionsOpened = 0;
 
   constructor(private readonly network: Network) {}
 
-  /** Returns the connections to an address, at most `connections` at once. */
+  /**
+   * Returns the connection pool of an address. `connections` is the maximum of open connections; it
+   * applies when the pool is created.
+   */
   find(address: Address, connections: number): Dispatcher {
     const name = formatAddress(address);
     const existing = this.#pools.get(name);
@@ -33,7 +36,7 @@
     return pool;
   }
 
-  /** Closes the connections to an address once their calls have ended. */
+  /** Removes the pool of an address; its connections close when their calls have ended. */
   release(address: Address): void {
     const name = formatAddress(address);
     this.#pools
@@ -43,7 +46,7 @@
     this.#pools.delete(name);
   }
 
-  /** Closes all connections at once. */
+  /** Closes all connections immediately, including those with calls in flight. */
   destroy(): void {
     for (const pool of this.#pools.values()) pool.destroy().catch(() => undefined);
     this.#pools.clear();
--- a/src/entry/discovery.ts
+++ b/src/entry/discovery.ts
@@ -1,31 +1,31 @@
-/** The answer to "which entry addresses do I use for this service". */
+/** Service discovery for callers: which entry addresses to use for a service. */
 import type { Member } from '../peer/index.js';
 import type { ServiceRuntime } from './service-runtime.js';
 
-/** Path of the question on the callers' listener; the service's name is the query `service`. */
+/** Path on the callers' listener; the query parameter `service` names the service. */
 export const DISCOVERY_PATH = '/.well-known/orchidbeam/entries';
 
-/** One address of the answer. */
+/** One entry address in an {@link EntryAnswer}. */
 export interface EntryChoice {
   readonly address: string;
   readonly domain: string;
   readonly role: 'home' | 'alternate';
-  /** Share of the calls to send here; alternates have none while a home answers. */
+  /** Fraction of the calls to send to this address; 0 for alternates, which are used when no home answers. */
   readonly weight: number;
 }
 
-/** The answer, in the order in which to use the addresses. */
+/** Answer to a discovery request; the addresses are in order of preference. */
 export interface EntryAnswer {
   readonly service: string;
   readonly region: string;
-  /** How long the answer may be kept, in milliseconds. */
+  /** How long the caller may cache the answer, in milliseconds. */
   readonly ttl: number;
   readonly entries: readonly EntryChoice[];
 }
 
 const MAX_ALTERNATES = 2;
 
-/** Answers for a service. Suspected entries come last; entries that are stopping are left out. */
+/** Lists the entries for a service. Suspected entries come last; stopping entries are left out. */
 export function answerDiscovery(runtime: ServiceRuntime, ttl: number): EntryAnswer {
   const { region, plan } = runtime.placement;
   const createCandidate = (role: EntryChoice['role'], weight: number) => (member: Member) => ({
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -1,4 +1,4 @@
-/** The entry daemon: puts the parts together, starts them, and stops them in a planned way. */
+/** The entry daemon: wires up its components, starts them, and stops them gracefully. */
 import {
   type Address,
   type Kernel,
@@ -41,7 +41,7 @@
 import { ServiceTable } from './service-table.js';
 import { type EntryStatus, describeService } from './status.js';
 
-/** What can be set besides the settings file. */
+/** Options that are not part of the settings file. */
 export interface EntryOptions {
   readonly strategy?: Strategy;
   readonly membershipTimes?: MembershipTimes;
@@ -55,13 +55,13 @@
 const MAX_READY_WAIT_MS = 3000;
 const ENTRY_ROLE = 'entry';
 
-/** Processor time of this process since its start, in milliseconds. */
+/** Returns the processor time of this process since its start, in milliseconds. */
 function readCpuTime(): number {
   const { user, system } = process.cpuUsage();
   return (user + system) / 1000;
 }
 
-/** One entry daemon. It runs inside any kernel, also several in one process. */
+/** An entry daemon. All its state hangs off its kernel, so several can run in one process. */
 export class Entry {
   readonly #platform: MeteredPlatform;
 
@@ -73,7 +73,7 @@
 
   readonly #stopController = new AbortController();
 
-  /** Reads and writes the configuration; the administration interface uses it too. */
+  /** Reads and writes the stored configuration; shared with the administration interface. */
   readonly store: ConfigStore;
 
   #membership: Membership | undefined;
@@ -110,7 +110,7 @@
     );
     this.store = new ConfigStore(this.#platform, clock, random);
     this.#clients = new Clients(kernel.find(networkService));
-    // Postings must not starve the control calls, nor the other way round.
+    // Claims have a rate limit of their own: neither claims nor control calls can starve the other.
     this.#claimPlatform = createMeteredPlatform(
       kernel.find(platformService),
       settings.platform.claims_per_second,
@@ -119,29 +119,34 @@
     this.#claims = new Claims(this.#claimPlatform, clock, random);
   }
 
-  /** The services at work; only after {@link start}. */
+  /** The services that this entry runs; available after {@link start}. */
   get table(): ServiceTable {
     assertInvariant(this.#table !== undefined, 'the entry was started');
     return this.#table;
   }
 
+  /** Keeps the configuration current; available after {@link start}. */
   get follower(): ConfigFollower {
     assertInvariant(this.#follower !== undefined, 'the entry was started');
     return this.#follower;
   }
 
+  /** The other entries as seen from this one; available after {@link start}. */
   get membership(): Membership {
     assertInvariant(this.#membership !== undefined, 'the entry was started');
     return this.#membership;
   }
 
-  /** Where callers connect; only after {@link start}. */
+  /** Address that callers connect to; available after {@link start}. */
   get callersAddress(): Address {
     assertInvariant(this.#listeners !== undefined, 'the entry was started');
     return this.#listeners.callers.address;
   }
 
-  /** Starts listening, joins the other entries, and begins to follow the configuration. */
+  /**
+   * Starts listening, joins the other entries and begins to follow the configuration. Resolves when a
+   * configuration is known, or after a few seconds without one.
+   */
   async start(): Promise<void> {
     const { settings, kernel } = this;
     const clock = kernel.find(clockService);
@@ -218,8 +223,9 @@
   }
 
   /**
-   * Stops without cutting a call: leaves the answers to callers, waits until old answers have run
-   * out, closes idle connections, and ends when the last call has ended or `grace` is over.
+   * Stops gracefully: withdraws this entry from discovery, waits until cached discovery answers have
+   * expired, closes idle connections, and ends when the last call has ended. Calls still in flight
+   * after `grace` milliseconds are aborted.
    */
   async stop(grace = this.settings.limits.stop_grace, signal?: AbortSignal): Promise<void> {
     const clock = this.kernel.find(clockService);
@@ -233,7 +239,7 @@
     await clock.sleep(Math.min(this.settings.limits.answer_ttl, grace), signal);
     await this.#listeners?.callers.drain();
     await this.#waitIdle(limit, signal);
-    // Peers hand calls over until they have heard that this entry stops; by now all have.
+    // Peers relay calls here until they learn that this entry is stopping; by now all of them have.
     await this.#listeners?.relay.drain();
     await this.#waitIdle(limit, signal);
     const abortedCalls = this.#countActiveCalls();
@@ -244,7 +250,7 @@
     log.info('entry.stopped', { name: this.settings.entry.name, ended: abortedCalls });
   }
 
-  /** Ends at once, as a crash would. */
+  /** Closes everything immediately, like a crash: calls are cut and peers are not notified. */
   destroy(): void {
     this.#stopController.abort();
     this.#listeners?.callers.destroy();
@@ -253,17 +259,17 @@
     this.#clients.destroy();
   }
 
-  /** Replaces the certificate for callers without a restart. */
+  /** Replaces the certificate and key of the callers' listener without a restart. */
   replaceCallersKeys(keys: KeyPair): void {
     this.#listeners?.callers.replaceKeys(keys);
   }
 
-  /** Takes a manifest that the administration interface accepted at time `at`. */
+  /** Adopts a manifest that the administration interface accepted at time `at`. */
   takeManifest(manifest: Manifest, at: number): Promise<void> {
     return this.follower.takeManifest(manifest, at);
   }
 
-  /** Describes this entry. */
+  /** Returns the status of this entry; available after {@link start}. */
   describe(): EntryStatus {
     const now = this.kernel.find(clockService).now();
     const { proofAge, configuration, fault } = this.follower;
@@ -296,7 +302,7 @@
     };
   }
 
-  /** Places the services again once for all the changes of a moment. */
+  /** Schedules one refresh of the service table for all changes that arrive shortly after each other. */
   #scheduleRefresh(): void {
     if (this.#isRefreshScheduled) return;
     this.#isRefreshScheduled = true;
@@ -306,7 +312,7 @@
     });
   }
 
-  /** Waits until no call is in flight, or until `limit` on the clock, or until the signal aborts. */
+  /** Waits until no call is in flight, the clock reaches `limit`, or the signal aborts. */
   async #waitIdle(limit: number, signal: AbortSignal | undefined): Promise<void> {
     const clock = this.kernel.find(clockService);
     while (this.#countActiveCalls() > 0 && clock.now() < limit && signal?.aborted !== true) {
@@ -334,7 +340,7 @@
     while (!this.follower.isKnown && clock.now() < limit) await clock.sleep(POLL_INTERVAL_MS);
   }
 
-  /** A task that ends with an error met a broken invariant: the process must not go on. */
+  /** Logs and rethrows: a background task only fails on a violated invariant, which ends the process. */
   #failProcess(error: Error): void {
     const text = error.stack ?? error.message;
     this.kernel.find(logService).error('entry.broken', { error: text });
--- a/src/entry/listeners.ts
+++ b/src/entry/listeners.ts
@@ -1,4 +1,4 @@
-/** The two HTTP listeners of an entry: for callers, and for calls handed over by other entries. */
+/** The two HTTP listeners of an entry: one for callers, one for calls relayed by other entries. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import {
   type Kernel,
@@ -13,13 +13,15 @@
 import { DISCOVERY_PATH, answerDiscovery } from './discovery.js';
 import type { ServiceRuntime } from './service-runtime.js';
 
-/** Who serves what arrives. */
+/** Handlers behind the listeners. */
 export interface ListenerHandlers {
+  /** Handles a call; `relayed` says that another entry sent it. */
   readonly serveCall: (
     request: IncomingMessage,
     response: ServerResponse,
     relayed: boolean,
   ) => void;
+  /** Finds a service for a discovery request. */
   readonly findService: (name: string) => ServiceRuntime | undefined;
 }
 
@@ -34,7 +36,7 @@
 const NOT_FOUND = 404;
 const UNAVAILABLE = 503;
 
-/** Starts both listeners. */
+/** Starts both listeners; `keys` makes the callers' listener use TLS. */
 export async function startListeners(
   kernel: Kernel,
   settings: EntrySettings,
--- a/src/entry/placement.ts
+++ b/src/entry/placement.ts
@@ -1,4 +1,4 @@
-/** Where the calls of a service go: its homes among the entries, seen from this entry. */
+/** Placement of a service: which entries are its homes, computed by each entry for itself. */
 import { type HomePlan, planHomes, parseRegion } from '../balance/index.js';
 import type { Service } from '../config/index.js';
 import type { Member } from '../peer/index.js';
@@ -6,21 +6,23 @@
 
 /** The homes of a service, and whether this entry is one of them. */
 export interface Placement {
+  /** Region whose entries are the homes. */
   readonly region: string;
   readonly plan: HomePlan<Member>;
   readonly isHome: boolean;
-  /** Whether each home uses only its share of the targets. */
+  /** Whether this entry is a home that uses only its assigned part of the targets. */
   readonly sharesTargets: boolean;
 }
 
-/** Returns the VMs that are targets of a pool by role. */
+/** Returns the VMs with a role; none for the empty role. */
 export function listVmsInRole(vms: readonly Vm[], role: string): readonly Vm[] {
   return role === '' ? [] : vms.filter((vm) => vm.role === role);
 }
 
 /**
- * Chooses the region whose entries are homes: this entry's own when the service has targets there
- * or nowhere; else one that has both targets and entries, the same in every entry.
+ * Chooses the region whose entries are homes: the region of this entry if the service has targets
+ * there or in no region at all. Otherwise the first region by name that has both targets and entries;
+ * the order makes every entry choose the same one.
  */
 function chooseRegion(service: Service, { ownRegion, vms, candidates }: PlacementInputs): string {
   const roles = new Set(service.pools.map(({ role }) => role).filter((role) => role !== ''));
@@ -33,21 +35,21 @@
   return [...regions].sort().find((region) => regionsWithEntries.has(region)) ?? ownRegion;
 }
 
-/** What placing needs to see. */
+/** Inputs of {@link placeService}. */
 export interface PlacementInputs {
   /** Region of this entry. */
   readonly ownRegion: string;
   readonly selfId: string;
   readonly vms: readonly Vm[];
-  /** Live and suspected entries. */
+  /** Entries that can be homes: live and suspected ones. */
   readonly candidates: readonly Member[];
-  /** Homes that the measured load of a service needs. */
+  /** Returns how many homes the measured load of a service needs. */
   readonly countNeededHomes: (service: string) => number;
-  /** Makes every entry a home that uses every target: the baseline that homes are measured against. */
+  /** Makes every entry a home that uses every target; the baseline to compare homes with. */
   readonly makesAllHomes: boolean;
 }
 
-/** Places a service. */
+/** Computes the placement of a service. */
 export function placeService(service: Service, inputs: PlacementInputs): Placement {
   const region = chooseRegion(service, inputs);
   if (inputs.makesAllHomes) {
--- a/src/entry/pool-runtime.ts
+++ b/src/entry/pool-runtime.ts
@@ -1,4 +1,4 @@
-/** One pool of a service at work in this entry: its targets, kept in step with all witnesses. */
+/** One pool of a service as run by this entry: keeps its targets in line with the VM list. */
 import {
   type Address,
   type Clock,
@@ -19,19 +19,23 @@
 import type { Vm } from '../platform/index.js';
 import { type Placement, listVmsInRole } from './placement.js';
 
-/** What a pool at work is made from. */
+/** Configuration and dependencies of a {@link PoolRuntime}. */
 export interface PoolRuntimeOptions {
   readonly service: Service;
   readonly config: PoolConfig;
   readonly strategy: Strategy;
   readonly clock: Clock;
   readonly random: Random;
+  /** Called when a target is no longer listed. */
   readonly onTargetRemoved: (address: Address) => void;
-  /** The same pool under the configuration before, whose targets are kept when they still fit. */
+  /**
+   * The same pool under the previous configuration. Its targets are kept unless the settings they
+   * depend on changed.
+   */
   readonly previous?: PoolRuntime;
 }
 
-/** The VMs of the list and which of them appeared while this daemon was running. */
+/** The VM list, and which addresses appeared while this daemon was running. */
 export interface VmView {
   readonly vms: readonly Vm[];
   readonly isNew: (address: string) => boolean;
@@ -41,13 +45,14 @@
   readonly address: Address;
   readonly domain: string;
   readonly leaving: boolean;
-  /** Whether the target appeared while this daemon was running; the configured ones are taken as warm. */
+  /** Whether the target appeared while this daemon was running; configured targets count as warm. */
   readonly isNew: boolean;
 }
 
+/** Shares of a target's connections that stay unused besides one share for each home. */
 const RESERVED_HOME_SHARES = 2;
 
-/** A pool at work. */
+/** A pool with its targets in use. */
 export class PoolRuntime {
   readonly pool: Pool;
 
@@ -67,7 +72,7 @@
     return this.options.config;
   }
 
-  /** Takes the list and the placement, and chooses the targets that this entry uses. */
+  /** Applies a new VM list and placement, and chooses the targets that this entry uses. */
   update({ vms, isNew }: VmView, placement: Placement, selfId: string): void {
     const listed = this.#listTargets({ vms, isNew });
     for (const [name, target] of this.#targets) {
@@ -89,12 +94,12 @@
     this.pool.setTargets(used);
   }
 
-  /** Finds a target by its address, also one that this entry has used before. */
+  /** Finds a target by its address, including listed ones that this entry does not use any more. */
   findTarget(name: string): Target | undefined {
     return this.#targets.get(name);
   }
 
-  /** Connections that this entry may open to one target. */
+  /** Returns how many connections this entry may open to one target when there are `homes` homes. */
   countConnections(homes: number): number {
     const share = Math.floor(this.config.connections / (homes + RESERVED_HOME_SHARES));
     assertInvariant(share >= 0, 'a share of connections is never negative');
--- a/src/entry/prober.ts
+++ b/src/entry/prober.ts
@@ -1,4 +1,4 @@
-/** Probes: the last resort, for ejected targets that no repeatable call can try. */
+/** Health probes for ejected targets, needed when no repeatable call arrives to try them with. */
 import type { Clock, Log, Metrics } from '../kernel/index.js';
 import type { Target } from '../balance/index.js';
 import { MeasuringGrant, buildGrantKey } from '../measure/index.js';
@@ -7,7 +7,7 @@
 import type { PoolRuntime } from './pool-runtime.js';
 import type { ServiceTable } from './service-table.js';
 
-/** What the prober is made from. */
+/** Dependencies of a {@link Prober}. */
 export interface ProberOptions {
   readonly table: ServiceTable;
   readonly clients: Clients;
@@ -28,12 +28,12 @@
 
   constructor(private readonly options: ProberOptions) {}
 
-  /** Target milliseconds spent by this entry on probes of a pool. */
+  /** Returns the target time that this entry has spent on probes of a pool, in milliseconds. */
   readSpent(service: string, pool: string): number {
     return this.#grants.get(buildGrantKey(service, pool))?.spent ?? 0;
   }
 
-  /** Probes until the signal aborts. */
+  /** Probes targets on trial periodically until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       await this.options.clock.sleep(PROBE_INTERVAL_MS, signal);
--- a/src/entry/relay.ts
+++ b/src/entry/relay.ts
@@ -1,4 +1,4 @@
-/** Hands a call over from an entry that is not its home to one that is. */
+/** Relays a call from the entry that received it to a home of its service. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { type Clock, parseAddress } from '../kernel/index.js';
 import type { Member } from '../peer/index.js';
@@ -18,24 +18,26 @@
 } from '../proxy/index.js';
 import type { Clients } from './clients.js';
 
-/** A call to hand over. */
+/** A call to relay, with its request and response. */
 export interface RelayedCall {
   readonly call: Call;
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
+  /** Aborts when the caller goes away or the daemon ends the call. */
   readonly signal: AbortSignal;
 }
 
-/** What handing over needs. */
+/** Dependencies of {@link relayCall}. */
 export interface RelayContext {
   readonly clients: Clients;
   readonly clock: Clock;
+  /** Secret that proves to the home that an entry sent the call. */
   readonly secret: string;
 }
 
 const MAX_RELAY_CONNECTIONS = 256;
 
-/** The home ends the call at its deadline and says how; this entry waits a little longer. */
+/** Extra wait after the deadline, at which the home ends the call and reports its outcome. */
 const DEADLINE_GRACE_MS = 50;
 
 function buildHeaders({ call, request }: RelayedCall, timeLeft: number, secret: string): string[] {
@@ -69,7 +71,10 @@
   return result;
 }
 
-/** Hands a call over; `not-reached` when this entry may still serve it itself. */
+/**
+ * Relays a call to a home. Returns `not-reached` when this entry may still serve it itself: nothing
+ * was sent, or the call may be repeated and has no body.
+ */
 export async function relayCall(
   relayed: RelayedCall,
   home: Member,
@@ -102,6 +107,6 @@
   const mayRepeat = call.repeatable && body.kind === 'none' && clock.now() < deadline;
   if (!sent || mayRepeat) return 'not-reached';
   const reason = result.kind === 'cancelled' ? 'deadline' : 'connection-lost';
-  const detail = 'the entry that had the call is silent';
+  const detail = 'the entry to which the call was relayed did not answer';
   return { kind: 'told', outcome: createUnknown(reason, detail) };
 }
--- a/src/entry/service-runtime.ts
+++ b/src/entry/service-runtime.ts
@@ -1,11 +1,11 @@
-/** One service at work in this entry: its pools, budgets and counts. */
+/** One service as run by this entry: its pools, retry and hedge budgets, and counts. */
 import type { Address, Clock, Random } from '../kernel/index.js';
 import { RateMeter, ShareBudget, type Strategy } from '../balance/index.js';
 import { MAIN_POOL, type Service } from '../config/index.js';
 import type { Placement } from './placement.js';
 import { PoolRuntime, type VmView } from './pool-runtime.js';
 
-/** Calls by how they ended, since the start. */
+/** Numbers of calls by how they ended, since the start. */
 export interface CallCounts {
   answered: number;
   notRun: number;
@@ -16,19 +16,20 @@
   policyFailures: number;
 }
 
-/** What a service at work is made from. */
+/** Configuration and dependencies of a {@link ServiceRuntime}. */
 export interface ServiceRuntimeOptions {
   readonly service: Service;
   readonly placement: Placement;
   readonly strategy: Strategy;
   readonly clock: Clock;
   readonly random: Random;
+  /** Called when a target is no longer listed. */
   readonly onTargetRemoved: (address: Address) => void;
-  /** The same service under the configuration before. */
+  /** The same service under the previous configuration; its counts and targets are carried over. */
   readonly previous?: ServiceRuntime;
 }
 
-/** A service at work. Its pools are built when this entry first has to use them. */
+/** A service run by this entry. Its pools are created when this entry first needs them. */
 export class ServiceRuntime {
   readonly counts: CallCounts;
 
@@ -57,19 +58,19 @@
     return this.options.service;
   }
 
-  /** The pools in use; empty while this entry has had no reason to use any. */
+  /** Returns the pools; empty until this entry first needs them. */
   listPools(): readonly PoolRuntime[] {
     return this.#pools === undefined ? [] : [...this.#pools.values()];
   }
 
-  /** Takes a new list of VMs or a new placement. */
+  /** Applies a new VM list and placement. */
   update(view: VmView, placement: Placement, selfId: string): void {
     this.placement = placement;
     if (placement.isHome) this.#createPools();
     for (const runtime of this.listPools()) runtime.update(view, placement, selfId);
   }
 
-  /** Finds a pool by name, or the main one, building the pools if need be. */
+  /** Finds a pool by name, else the main pool. Creates the pools if there are none yet. */
   findPool(name: string | undefined, view: VmView, selfId: string): PoolRuntime {
     if (this.#pools === undefined) {
       this.#createPools();
--- a/src/entry/service-table.ts
+++ b/src/entry/service-table.ts
@@ -1,4 +1,4 @@
-/** All services at work in this entry, rebuilt when the configuration, VMs or members change. */
+/** The services run by this entry, updated when the configuration, VM list or members change. */
 import { type Address, type Clock, type Random, formatAddress } from '../kernel/index.js';
 import { type Strategy, isBounded, parseRegion } from '../balance/index.js';
 import {
@@ -13,56 +13,59 @@
 import type { VmView } from './pool-runtime.js';
 import { ServiceRuntime } from './service-runtime.js';
 
-/** What the table is made from. */
+/** Dependencies of a {@link ServiceTable}. */
 export interface ServiceTableOptions {
   readonly strategy: Strategy;
   readonly clock: Clock;
   readonly random: Random;
   /** Failure domain of this entry. */
   readonly domain: string;
+  /** Member id of this entry. */
   readonly selfId: () => string;
+  /** Returns the entries that can be homes. */
   readonly listCandidates: () => readonly Member[];
+  /** Called when a target is no longer listed. */
   readonly onTargetRemoved: (address: Address) => void;
-  /** Homes that the measured load of a service needs. */
+  /** Returns how many homes the measured load of a service needs. */
   readonly countNeededHomes: (service: string) => number;
 }
 
-/** A busy service; `rate` in calls a second. */
+/** A service with its rate, in calls per second. */
 export interface BusyService {
   readonly service: string;
   readonly rate: number;
 }
 
-/** The services at work. */
+/** The services of the current configuration, by name. */
 export class ServiceTable {
   #configuration: Configuration = EMPTY_CONFIGURATION;
 
   #vms: readonly Vm[] = [];
 
-  /** Addresses that were on the first list; a target that appears later is cold. */
+  /** Addresses on the first VM list; a target that appears later counts as cold. */
   #initialAddresses: ReadonlySet<string> | undefined;
 
   #runtimes: ReadonlyMap<string, ServiceRuntime> = new Map();
 
   constructor(private readonly options: ServiceTableOptions) {}
 
-  /** The services at work, in the order of the configuration. */
+  /** Returns the services in the order of the configuration. */
   list(): readonly ServiceRuntime[] {
     return [...this.#runtimes.values()];
   }
 
-  /** Finds the service of a call. */
+  /** Finds the service that a call with this host and path is for. */
   find(host: string, path: string): ServiceRuntime | undefined {
     const service = findService(this.#configuration, host, path);
     return service === undefined ? undefined : this.#runtimes.get(service.name);
   }
 
-  /** Finds a service by its name. */
+  /** Finds a service by name. */
   findByName(name: string): ServiceRuntime | undefined {
     return this.#runtimes.get(name);
   }
 
-  /** Takes a new configuration; services whose text is unchanged go on as they are. */
+  /** Applies a new configuration; services that remain keep their counts, and targets that still fit. */
   setConfiguration(configuration: Configuration): void {
     this.#configuration = configuration;
     const runtimes = new Map<string, ServiceRuntime>();
@@ -74,14 +77,14 @@
     this.refresh();
   }
 
-  /** Takes a new list of VMs. */
+  /** Applies a new VM list. */
   setVms(vms: readonly Vm[]): void {
     this.#vms = vms;
     this.#initialAddresses ??= new Set(vms.map(({ address }) => formatAddress(address)));
     this.refresh();
   }
 
-  /** Places all services again, after the members changed. */
+  /** Recomputes the placement of all services, for example after the members changed. */
   refresh(): void {
     const view = this.readVmView();
     for (const runtime of this.#runtimes.values()) {
@@ -89,7 +92,7 @@
     }
   }
 
-  /** What pools need to know of the list of VMs. */
+  /** Returns the VM list as pools use it. */
   readVmView(): VmView {
     const initialAddresses = this.#initialAddresses;
     return {
@@ -98,7 +101,7 @@
     };
   }
 
-  /** Measures the services that are at home here and busy enough to tell others; calls a second. */
+  /** Lists the services with their home here and a rate above `minRate` calls per second. */
   listBusy(now: number, minRate: number): readonly BusyService[] {
     const busy: BusyService[] = [];
     for (const { service, rate, placement } of this.#runtimes.values()) {
@@ -109,7 +112,7 @@
     return busy;
   }
 
-  /** Takes another entry's notice that a target is leaving. */
+  /** Records another entry's notice that a target is leaving. */
   recordLeavingTarget(name: string): void {
     for (const runtime of this.#runtimes.values()) {
       for (const pool of runtime.listPools()) pool.findTarget(name)?.recordLeavingNotice();
--- a/src/entry/status.ts
+++ b/src/entry/status.ts
@@ -1,10 +1,10 @@
-/** What an entry shows of itself to operators. */
+/** Status of an entry, as JSON for operators. */
 import type { TargetState } from '../balance/index.js';
 import type { Member, PeerTraffic } from '../peer/index.js';
 import type { PlatformCounts } from '../platform/index.js';
 import type { CallCounts, ServiceRuntime } from './service-runtime.js';
 
-/** One target and why it is or isn't used. */
+/** Status of one target, and why it is or is not used. */
 export interface TargetStatus {
   readonly address: string;
   readonly domain: string;
@@ -18,23 +18,23 @@
   readonly failed: number;
 }
 
-/** One pool as used from this entry. */
+/** Status of one pool as used by this entry. */
 export interface PoolStatus {
   readonly name: string;
   readonly busy: number;
   readonly waiting: number;
-  /** Target milliseconds that this entry has spent on probes. */
+  /** Target time that this entry has spent on probes, in milliseconds. */
   readonly measured: number;
   readonly targets: readonly TargetStatus[];
 }
 
-/** One service as seen from this entry. */
+/** Status of one service as seen by this entry. */
 export interface ServiceStatus {
   readonly name: string;
   readonly region: string;
   readonly homes: readonly string[];
   readonly isHome: boolean;
-  /** Calls a second of late. */
+  /** Recent calls per second. */
   readonly rate: number;
   readonly counts: Readonly<CallCounts>;
   readonly retries: number;
@@ -42,13 +42,13 @@
   readonly pools: readonly PoolStatus[];
 }
 
-/** The whole of an entry. */
+/** Status of an entry. */
 export interface EntryStatus {
   readonly name: string;
   readonly domain: string;
   readonly state: string;
   readonly revision: number;
-  /** Milliseconds since the revision was shown to be the newest; null is never. */
+  /** Milliseconds since the revision was last shown to be the newest; null if never. */
   readonly proofAge: number | null;
   readonly configFault: string | undefined;
   readonly active: number;
@@ -83,7 +83,7 @@
   }
 }
 
-/** Shows one service. */
+/** Builds the status of one service; `readMeasured` returns the probe time spent on a pool. */
 export function describeService(
   runtime: ServiceRuntime,
   now: number,
--- a/src/proxy/attempt.ts
+++ b/src/proxy/attempt.ts
@@ -1,8 +1,9 @@
 /**
- * One attempt at one target: sends the call, and relays the answer or says truthfully what happened.
+ * One attempt at one target: sends the call, and either relays the answer or reports how it failed.
  *
- * The line that matters is `onRequestStart`: before it no byte of the call has been written, so the
- * call was not run; after it nobody knows, unless the target itself says that it did not run it.
+ * `onRequestStart` decides what is known about a failed attempt. Before it, no byte of the call has
+ * been written, so the call was not run. After it, the call may have run, unless the target reports
+ * that it did not.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Dispatcher } from 'undici';
@@ -24,33 +25,33 @@
 export type AttemptResult =
   /** The whole answer was passed to the caller. */
   | { readonly kind: 'relayed'; readonly status: number }
-  /** The answer broke off after its head; the caller's connection was cut. */
+  /** The answer broke off after its head had been passed on; the caller's connection was closed. */
   | { readonly kind: 'cut'; readonly detail: string }
-  /** No byte was sent, or the target said that it did not run the call. */
+  /** No byte was sent, or the target reported that it did not run the call. */
   | { readonly kind: 'not-run'; readonly cause: NotRunCause }
-  /** The call was sent and no whole answer came; nothing was passed to the caller. */
+  /** The call was sent but no usable answer came; nothing was passed to the caller. */
   | { readonly kind: 'lost'; readonly reason: UnknownReason; readonly detail: string }
-  /** A server error that the entry chose not to pass on, because it tries again. */
+  /** A server error that is not passed on, because the call is retried. */
   | { readonly kind: 'discarded'; readonly status: number }
-  /** The entry gave the attempt up: another attempt won, or the caller went away. */
+  /** Aborted by the entry: another attempt answered, the deadline passed, or the caller went away. */
   | { readonly kind: 'cancelled'; readonly sent: boolean };
 
-/** Why an attempt certainly did not run. */
+/** Why the call was certainly not run by an attempt. */
 export type NotRunCause =
   { readonly kind: 'target-shed' } | { readonly kind: 'not-connected'; readonly detail: string };
 
-/** Lets one of several attempts answer the caller. */
+/** Ensures that only one of several attempts answers the caller, and aborts the others. */
 export class AnswerGate {
   #owner: object | undefined;
 
   readonly #abortCallbacks = new Set<(reason: string) => void>();
 
-  /** Registers how an attempt is given up when another one answers. */
+  /** Registers the callback that aborts an attempt when another one answers. */
   add(abort: (reason: string) => void): void {
     this.#abortCallbacks.add(abort);
   }
 
-  /** Takes the right to answer; false when another attempt has it. */
+  /** Claims the right to answer and aborts the other attempts; false when another attempt has it. */
   claim(attempt: object, abort: (reason: string) => void): boolean {
     if (this.#owner !== undefined) return this.#owner === attempt;
     this.#owner = attempt;
@@ -60,13 +61,13 @@
     return true;
   }
 
-  /** Whether any attempt has answered. */
+  /** Whether an attempt has claimed the right to answer. */
   get isClaimed(): boolean {
     return this.#owner !== undefined;
   }
 }
 
-/** What an attempt is made from. */
+/** Inputs and callbacks of an attempt. */
 export interface AttemptOptions {
   readonly client: Dispatcher;
   readonly call: Call;
@@ -74,24 +75,25 @@
   readonly body: Body;
   readonly response: ServerResponse;
   readonly gate: AnswerGate;
-  /** Whether the answer comes from another entry, whose outcome header passes on. */
+  /** Whether the answer's outcome header is passed on, as for answers of another entry. */
   readonly keepsOutcomeHeader?: boolean;
-  /** Whether a server error with this status is kept from the caller to try again. */
+  /** Whether an answer with this status is discarded, so that the call can be retried. */
   readonly isDiscarded: (status: number) => boolean;
-  /** Whether the call may still be sent; asked right before its first byte. */
+  /** Whether the call may still be sent; checked right before its first byte. */
   readonly isBeforeDeadline: () => boolean;
   /** Called once when the first byte may have been written. */
   readonly onSent: () => void;
-  /** Called with what the target reports of itself. */
+  /** Called with the target's report about itself. */
   readonly onReport?: (report: TargetReport) => void;
-  /** Called when the attempt shows that nothing was run after all. */
+  /** Called when the target reports that it did not run the call. */
   readonly onNotRun: () => void;
 }
 
-/** A running attempt. */
+/** An attempt in progress. */
 export interface Attempt {
+  /** Resolves when the attempt has ended; never rejects. */
   readonly done: Promise<AttemptResult>;
-  /** Gives the attempt up; the target sees its connection close. */
+  /** Aborts the attempt and closes its connection to the target. */
   abort(reason: string): void;
 }
 
@@ -99,20 +101,20 @@
 const EARLY_HINTS_STATUS = 103;
 const MIN_FINAL_STATUS = 200;
 
-/** Gives an attempt up for a reason that the entry chose. */
+/** Error with which the entry aborts its own attempts. */
 class AttemptAborted extends Error {
   override readonly name = 'AttemptAborted';
 }
 
-/** One instance serves all: recording a stack for each attempt that is given up costs too much. */
-const ABORTED = new AttemptAborted('given up by the entry');
+/** Shared instance: capturing a stack trace for each aborted attempt would cost too much. */
+const ABORTED = new AttemptAborted('aborted by the entry');
 
 function decodeHeaders(raw: Dispatcher.DispatchController['rawHeaders']): FlatHeaders {
   if (!Array.isArray(raw)) return [];
   return raw.map((part) => (typeof part === 'string' ? part : part.toString('latin1')));
 }
 
-/** Whether the end of an answer can be told from a broken connection. */
+/** Whether a complete answer can be told from one whose connection broke. */
 function isDelimited(method: string, status: number, headers: FlatHeaders): boolean {
   if (method === 'HEAD' || NO_BODY_STATUSES.has(status)) return true;
   if (findHeader(headers, 'content-length') !== undefined) return true;
@@ -126,7 +128,7 @@
     case 'buffered':
       return body.data;
     case 'stream':
-      // The library would destroy the request itself, and with it the caller's connection.
+      // Given the request itself, undici would destroy it, and the caller's connection with it.
       return readStream(body.request) as unknown as Dispatcher.DispatchOptions['body'];
     default:
       return body satisfies never;
@@ -163,7 +165,7 @@
     else controller.abort(ABORTED);
   };
   const resume = () => controller?.resume();
-  /** Ends the attempt with a verdict of its own and closes the connection to the target. */
+  /** Ends the attempt with the given result and closes the connection to the target. */
   const stopWith = (result: AttemptResult) => {
     decidedResult = result;
     controller?.abort(ABORTED);
@@ -184,7 +186,7 @@
       return;
     }
     if (!isDelimited(call.method, code, headers)) {
-      const detail = 'the answer ends with its connection, so its end cannot be told';
+      const detail = 'only the end of the connection marks the end of the answer';
       stopWith({ kind: 'lost', reason: 'undelimited-answer', detail });
       return;
     }
@@ -211,7 +213,7 @@
         return;
       }
       if (startCount > 1) {
-        // The library offers to send the call again; whether that may be is not for it to decide.
+        // undici is about to resend the call by itself, but only the forwarder decides on retries.
         started.abort(new Error('connection lost'));
         return;
       }
--- a/src/proxy/body.ts
+++ b/src/proxy/body.ts
@@ -1,4 +1,4 @@
-/** The body of a call: absent, short and buffered so that it can be sent again, or streamed once. */
+/** The body of a call: none, short and buffered so that it can be resent, or streamed only once. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Call } from './call.js';
 
@@ -8,35 +8,35 @@
   | { readonly kind: 'buffered'; readonly data: Buffer }
   | { readonly kind: 'stream'; readonly request: IncomingMessage };
 
-/** The longest body that is buffered, in bytes. */
+/** Longest body that is buffered. */
 export const MAX_BUFFERED_BODY_BYTES = 65_536;
 
-/** Bounds the bytes of buffered bodies that one daemon holds. */
+/** Limits the total size of the bodies that one daemon buffers, in bytes. */
 export class BufferBudget {
   #used = 0;
 
   constructor(private readonly limit: number) {}
 
-  /** Takes `bytes` if they fit. */
+  /** Reserves `bytes`; false when that would exceed the limit. */
   take(bytes: number): boolean {
     if (this.#used + bytes > this.limit) return false;
     this.#used += bytes;
     return true;
   }
 
-  /** Gives `bytes` back. */
+  /** Releases `bytes` reserved before. */
   release(bytes: number): void {
     this.#used -= bytes;
   }
 }
 
-/** Tells the caller to send its body, if it waits to be told (`Expect: 100-continue`). */
+/** Sends `100 Continue` to a caller that waits for it before sending its body. */
 export function sendContinue(request: IncomingMessage, response: ServerResponse): void {
   if (request.headers.expect === undefined || response.headersSent) return;
   response.writeContinue();
 }
 
-/** Reads a whole body of declared length; rejects when the caller ends it early. */
+/** Reads the whole body; rejects when the caller ends it early. */
 export async function readBody(request: IncomingMessage): Promise<Buffer> {
   const chunks: Buffer[] = [];
   for await (const chunk of request.iterator({ destroyOnReturn: false })) {
@@ -45,12 +45,12 @@
   return Buffer.concat(chunks);
 }
 
-/** Whether a body is short enough to be buffered, so that a call can be tried at another target. */
+/** Whether the body of a call is short enough to be buffered for retries at other targets. */
 export function isBufferable(call: Call): boolean {
   return call.bodyLength > 0 && call.bodyLength <= MAX_BUFFERED_BODY_BYTES;
 }
 
-/** Whether a body can be sent once more. */
+/** Whether a body can be sent again. */
 export function isReplayable(body: Body): boolean {
   return body.kind !== 'stream';
 }
--- a/src/proxy/call.ts
+++ b/src/proxy/call.ts
@@ -1,4 +1,4 @@
-/** A received call: what it asks for, read from its head with safe defaults. */
+/** A received call: its properties, parsed from the request's head with safe defaults. */
 import type { IncomingMessage } from 'node:http';
 import { Either, Left, Right } from 'purify-ts';
 import { type Random } from '../kernel/index.js';
@@ -8,7 +8,7 @@
 import { CALLER_HEADERS, CALL_HEADER } from './headers.js';
 import { type Outcome, createNotRun } from './outcome.js';
 
-/** A call with everything that the entry decides on. */
+/** The properties of a call that decide how it is handled. */
 export interface Call {
   readonly id: string;
   readonly method: string;
@@ -16,17 +16,19 @@
   readonly requestTarget: string;
   readonly path: string;
   readonly host: string;
+  /** Name that the caller gave itself, else its IP address. */
   readonly caller: string;
   readonly callerAddress: string;
   readonly className: string;
+  /** Whether the call may be run more than once. */
   readonly repeatable: boolean;
   readonly idempotencyKey: string | undefined;
   /** Time allowed, in milliseconds, from {@link receivedAt}. */
   readonly timeAllowed: number;
   readonly receivedAt: number;
-  /** Declared length of the body; -1 when it is chunked, 0 without a body. */
+  /** Declared length of the body in bytes; -1 when it is chunked, 0 without a body. */
   readonly bodyLength: number;
-  /** Whether the call was made while serving a retry; it is then not retried again. */
+  /** Whether the caller made the call while serving a retry; then it is not retried here. */
   readonly isRetry: boolean;
 }
 
@@ -60,7 +62,7 @@
   return Math.min(Number(text), service.deadline_max);
 }
 
-/** Returns the call's identifier: the caller's own when it is well formed, else a new one. */
+/** Returns the id of a call: the one that the caller sent if it is well formed, else a new one. */
 export function readCallId(request: IncomingMessage, random: Random): string {
   const given = readHeader(request, CALL_HEADER);
   return given !== undefined && CALL_ID_PATTERN.test(given) ? given : random.id();
@@ -70,7 +72,7 @@
   return Left(createNotRun('bad-request', `header ${header}: expected ${expected}`));
 }
 
-/** Reads a call for a service; a header of ours that cannot be read is refused, not guessed. */
+/** Parses a call for a service. A malformed Orchidbeam header or idempotency key is rejected. */
 export function readCall(
   request: IncomingMessage,
   { service, id, now }: { readonly service: Service; readonly id: string; readonly now: number },
@@ -116,7 +118,7 @@
   });
 }
 
-/** Finds the class of work of a call; an unknown name gets the default class, or the last one. */
+/** Finds a class of work by name; for an unknown name, the default class, else the last one. */
 export function findClass(service: Service, name: string): ClassConfig {
   const { classes } = service;
   const match = classes.find((candidate) => candidate.name === name);
@@ -124,7 +126,7 @@
   return match ?? fallback ?? (classes.at(-1) as ClassConfig);
 }
 
-/** Shows a call to the policies. */
+/** Builds the view of a call that policies are evaluated on. */
 export function createCallView(call: Call, request: IncomingMessage, now: number): CallView {
   const headers: Record<string, string> = {};
   for (const [name, value] of Object.entries(request.headers)) {
--- a/src/proxy/forwarder.ts
+++ b/src/proxy/forwarder.ts
@@ -1,9 +1,9 @@
 /**
- * Serves one call: finds a slot, tries a target, and where it is allowed tries another one.
+ * Forwards one call: takes a slot, sends the call to its target, and retries or hedges where allowed.
  *
- * Rules that hold for every path through this file: a call that may not be repeated is sent again
- * only after each earlier sending was shown not to have run, and *not run* is said only when no
- * sending is left without such a proof. Both are asserted where they matter.
+ * Two rules hold on every path. A call that may not be repeated is sent again only once each earlier
+ * attempt is known not to have run. *Not run* is reported only if that is known of every attempt.
+ * {@link SendLedger} asserts both.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Dispatcher } from 'undici';
@@ -18,14 +18,14 @@
 import { SendLedger } from './ledger.js';
 import { type Outcome, createNotRun, createUnknown } from './outcome.js';
 
-/** How a call ended, for logs and metrics. */
+/** How a call ended. `told` means that the caller gets an outcome instead of an answer. */
 export type CallEnd =
   | { readonly kind: 'answered'; readonly status: number; readonly target: string }
   | { readonly kind: 'cut'; readonly target: string; readonly detail: string }
   | { readonly kind: 'told'; readonly outcome: Outcome }
   | { readonly kind: 'gone' };
 
-/** The parts of a service that a call uses. */
+/** The pool, budgets and callbacks used to forward a call. */
 export interface ForwardContext {
   readonly pool: Pool;
   readonly class: ClassConfig;
@@ -34,11 +34,11 @@
   readonly hedgeBudget: ShareBudget;
   readonly findClient: (target: Target) => Dispatcher;
   readonly clock: Clock;
-  /** Called when a target says that it is leaving. */
+  /** Called with the address of a target that reports that it is draining. */
   readonly onTargetLeaving: (target: string) => void;
 }
 
-/** A call with its two streams. */
+/** A call to forward, with its body, request and response. */
 export interface ForwardedCall {
   readonly call: Call;
   readonly body: Body;
@@ -48,14 +48,15 @@
   readonly signal: AbortSignal;
 }
 
-/** What was spent on a call. */
+/** The retries, hedges and waiting time of a call. */
 export interface CallCost {
   retries: number;
   hedges: number;
+  /** Total time spent waiting for slots, in milliseconds. */
   waited: number;
 }
 
-/** Reason of the signal that ends calls because the daemon stops. */
+/** Abort reason of the signal when the daemon ends its calls because it stops. */
 export const STOPPING_REASON = 'stopping';
 
 const MAX_ATTEMPTS = 4;
@@ -82,7 +83,7 @@
   }
 }
 
-/** Serves calls of one service in one entry. */
+/** Forwards one call. */
 export class Forwarder {
   readonly #ledger: SendLedger;
 
@@ -96,7 +97,7 @@
 
   #isExpired = false;
 
-  /** What the call has cost so far. */
+  /** Cost of the call so far. */
   readonly cost: CallCost = { retries: 0, hedges: 0, waited: 0 };
 
   constructor(
@@ -107,7 +108,7 @@
     this.#deadline = forwarded.call.receivedAt + forwarded.call.timeAllowed;
   }
 
-  /** Serves the call to its end. An outcome that is returned has not been written yet. */
+  /** Runs the call to its end. The caller of this method writes a returned outcome. */
   async run(): Promise<CallEnd> {
     const { clock } = this.context;
     const { signal } = this.forwarded;
@@ -155,7 +156,7 @@
     };
   }
 
-  /** Runs an attempt in a slot, and a second one beside it when the first takes unusually long. */
+  /** Runs an attempt in a slot, and hedges it with a second one if it takes unusually long. */
   async #runHedged(slot: Slot, attemptNumber: number): Promise<AttemptResult> {
     const first = this.#startAttempt(slot, attemptNumber);
     const delay = Math.max(MIN_HEDGE_DELAY_MS, this.context.pool.hedgeDelay);
@@ -248,7 +249,7 @@
     }
   }
 
-  /** Ends a call whose caller went away, or that this daemon ends because it stops. */
+  /** Finishes a call that was aborted because its caller went away or because this daemon stops. */
   #finishAborted(): CallEnd {
     if (this.forwarded.signal.reason !== STOPPING_REASON) return { kind: 'gone' };
     const detail = 'this entry stopped before the call ended';
@@ -262,20 +263,20 @@
     if (!sent && !this.#ledger.mayHaveRun) {
       return this.#reportNotRun('deadline', 'the deadline passed before the call was sent', 0);
     }
-    const detail = 'the deadline passed while a target had the call';
+    const detail = 'the deadline passed after the call was sent to a target';
     return { kind: 'told', outcome: createUnknown('deadline', detail) };
   }
 
   #finishFailed(result: AttemptResult): CallEnd {
     if (result.kind === 'not-run' && !this.#ledger.mayHaveRun) {
       const { cause } = result;
-      const detail = cause.kind === 'target-shed' ? 'targets have no room' : cause.detail;
+      const detail = cause.kind === 'target-shed' ? 'the targets have no capacity' : cause.detail;
       return this.#reportNotRun(cause.kind, detail, 1000);
     }
     if (result.kind === 'lost') {
       return { kind: 'told', outcome: createUnknown(result.reason, result.detail) };
     }
-    const detail = 'an attempt was sent and no whole answer came';
+    const detail = 'the call was sent but no complete answer came';
     return { kind: 'told', outcome: createUnknown('connection-lost', detail) };
   }
 
--- a/src/proxy/head-check.ts
+++ b/src/proxy/head-check.ts
@@ -1,17 +1,17 @@
-/** What a request must be like before anything looks at it: the checks against hostile input. */
+/** Validation of a request's head, before anything else reads it: protects against hostile input. */
 import type { IncomingMessage } from 'node:http';
 import { listPairs } from './headers.js';
 
-/** Why a request is turned away, as an HTTP status with a reason. */
+/** Why a request is rejected: an HTTP status and an explanation. */
 export interface HeadRefusal {
   readonly status: number;
   readonly detail: string;
 }
 
-/** Most header fields in a request. */
+/** Maximum number of header fields in a request. */
 export const MAX_HEADER_FIELDS = 100;
 
-/** Longest request target, in bytes. */
+/** Maximum length of a request target. */
 export const MAX_TARGET_BYTES = 8192;
 
 const SINGLE_VALUE_HEADERS = new Set([
@@ -34,49 +34,52 @@
   for (const [name, value] of listPairs(request.rawHeaders)) {
     const lower = name.toLowerCase();
     count += 1;
-    if (count > MAX_HEADER_FIELDS) return refuse(431, `more than ${MAX_HEADER_FIELDS} headers`);
-    if (!TOKEN_PATTERN.test(name)) return refuse(400, 'a header name is not a token');
+    if (count > MAX_HEADER_FIELDS)
+      return refuse(431, `more than ${MAX_HEADER_FIELDS} header fields`);
+    if (!TOKEN_PATTERN.test(name)) return refuse(400, 'a header name is not a valid token');
     if (SINGLE_VALUE_HEADERS.has(lower) && seen.has(lower))
-      return refuse(400, `header ${lower} stands twice`);
-    if (value.includes('\n') || value.includes('\r')) return refuse(400, 'a folded header');
+      return refuse(400, `header ${lower} occurs more than once`);
+    if (value.includes('\n') || value.includes('\r'))
+      return refuse(400, 'a header value is folded or contains a line break');
     seen.add(lower);
   }
   if (seen.has('content-length') && seen.has('transfer-encoding')) {
-    return refuse(400, 'both content-length and transfer-encoding');
+    return refuse(400, 'both content-length and transfer-encoding are present');
   }
   return undefined;
 }
 
 function checkRequestTarget(target: string): HeadRefusal | undefined {
   if (target.length > MAX_TARGET_BYTES)
-    return refuse(414, `a target longer than ${MAX_TARGET_BYTES} bytes`);
+    return refuse(414, `the request target is longer than ${MAX_TARGET_BYTES} bytes`);
   if (target === '*') return undefined;
-  if (!target.startsWith('/')) return refuse(400, 'a target that is not a path');
+  if (!target.startsWith('/')) return refuse(400, 'the request target is not a path');
   const [path = ''] = target.split('?', 1);
-  if (DOT_SEGMENT_PATTERN.test(path)) return refuse(400, 'a path with dot segments');
+  if (DOT_SEGMENT_PATTERN.test(path)) return refuse(400, 'the path contains dot segments');
   return undefined;
 }
 
-/** Checks the head of a request; undefined lets it in. */
+/** Checks the head of a request; returns undefined if it is valid. */
 export function checkHead(request: IncomingMessage): HeadRefusal | undefined {
   const refusal = checkFields(request);
   if (refusal !== undefined) return refusal;
   const { host } = request.headers;
-  if (host === undefined || !HOST_PATTERN.test(host)) return refuse(400, 'no valid Host');
+  if (host === undefined || !HOST_PATTERN.test(host))
+    return refuse(400, 'header host is missing or invalid');
   const coding = request.headers['transfer-encoding'];
   if (coding !== undefined && coding.toLowerCase() !== 'chunked') {
-    return refuse(501, 'a transfer coding other than chunked');
+    return refuse(501, 'the transfer coding is not chunked');
   }
   const expectation = request.headers.expect;
   if (expectation !== undefined && expectation.toLowerCase() !== '100-continue') {
-    return refuse(417, 'an expectation other than 100-continue');
+    return refuse(417, 'the expectation is not 100-continue');
   }
   return checkRequestTarget(request.url ?? '');
 }
 
 /**
- * Turns a target in absolute form into its path, and takes the host it names.
- * Other targets are left as they are.
+ * Replaces a request target in absolute form by its path, and the `Host` header by its host.
+ * Other targets are left unchanged.
  */
 export function normalizeTarget(request: IncomingMessage): void {
   const match = /^https?:\/\/([^/?#]+)(\/.*)?$/i.exec(request.url ?? '');
--- a/src/proxy/headers.ts
+++ b/src/proxy/headers.ts
@@ -1,4 +1,4 @@
-/** Headers: the ones of ours, the ones that end at each hop, and what passes on. */
+/** Headers of calls and answers: Orchidbeam's own, hop-by-hop ones, and those that are forwarded. */
 import { OUTCOME_HEADER } from './outcome.js';
 import type { TargetReport, ReportedState } from '../balance/index.js';
 
@@ -6,24 +6,24 @@
 export const CALLER_HEADERS = {
   /** Time left for the call, in milliseconds. */
   deadline: 'orchidbeam-deadline',
-  /** The class of work. */
+  /** Name of the class of work. */
   class: 'orchidbeam-class',
-  /** Who calls, for fairness and policies. */
+  /** Name of the caller, used for fairness and by policies. */
   caller: 'orchidbeam-caller',
   /** `yes` or `no`: whether the call may be repeated. */
   repeatable: 'orchidbeam-repeatable',
-  /** Set on a call made while serving another one that was itself a retry. */
+  /** Set on a retry, and by a caller on the calls it makes while serving one. */
   retry: 'orchidbeam-retry',
   idempotencyKey: 'idempotency-key',
 } as const;
 
-/** Follows a call through every part; targets may echo it on their answer. */
+/** Carries the id of a call on every hop; targets may echo it in their answer. */
 export const CALL_HEADER = 'orchidbeam-call';
 
-/** A target's word on an answer: `not-run; state=draining; in-flight=3`. */
+/** A target's report about itself in an answer, such as `not-run; state=draining; in-flight=3`. */
 export const REPORT_HEADER = 'orchidbeam-report';
 
-/** The header of calls handed over between entries, on the relay listener only. */
+/** Carries the shared secret of entries on relayed calls; accepted on the relay listener only. */
 export const RELAY_HEADER = 'orchidbeam-relay';
 
 const HOP_BY_HOP = new Set([
@@ -38,10 +38,10 @@
 
 const REMOVED_FROM_ANSWERS = new Set<string>([REPORT_HEADER, OUTCOME_HEADER, CALL_HEADER]);
 
-/** Headers as a flat list: name, value, name, value. */
+/** Headers as a flat list of alternating names and values. */
 export type FlatHeaders = readonly string[];
 
-/** Yields the pairs of a flat list. */
+/** Yields the name-value pairs of a flat list. */
 export function* listPairs(flat: FlatHeaders): Generator<readonly [string, string]> {
   for (let index = 0; index + 1 < flat.length; index += 2) {
     yield [flat[index], flat[index + 1]];
@@ -50,7 +50,7 @@
 
 const NO_TOKENS: ReadonlySet<string> = new Set();
 
-/** Names that a `Connection` header makes hop-by-hop; most messages name none but the usual ones. */
+/** Lists the names that `Connection` headers make hop-by-hop; fast for the usual values of one name. */
 function listConnectionTokens(flat: FlatHeaders): ReadonlySet<string> {
   const value = findHeader(flat, 'connection');
   if (value === undefined || HOP_BY_HOP.has(value.toLowerCase()) || value === 'close') {
@@ -75,7 +75,7 @@
   return kept;
 }
 
-/** What the entry adds to a call on its way to a target. */
+/** Values of the headers that the entry adds to a call for a target. */
 export interface TargetHeaderValues {
   readonly callId: string;
   /** Time left, in milliseconds. */
@@ -85,7 +85,7 @@
   readonly isRetry: boolean;
 }
 
-/** Builds the headers of a call for a target: those of the caller that pass on, and ours. */
+/** Builds the headers of a call for a target: the caller's forwarded headers and the entry's own. */
 export function buildTargetHeaders(flat: FlatHeaders, values: TargetHeaderValues): string[] {
   const headers = filterHeaders(flat, (name) => REMOVED_FROM_REQUESTS.has(name));
   headers.push(CALL_HEADER, values.callId);
@@ -99,7 +99,7 @@
   return headers;
 }
 
-/** Builds the headers of an answer for the caller. */
+/** Builds the headers of an answer for the caller; `keepsOutcomeHeader` keeps the outcome header. */
 export function buildCallerHeaders(
   flat: FlatHeaders,
   callId: string,
@@ -113,7 +113,7 @@
   return headers;
 }
 
-/** Finds the value of a header in a flat list. */
+/** Finds the first value of a header; `wanted` is in lower case. */
 export function findHeader(flat: FlatHeaders, wanted: string): string | undefined {
   for (const [name, value] of listPairs(flat)) {
     if (name.length === wanted.length && name.toLowerCase() === wanted) return value;
@@ -121,7 +121,7 @@
   return undefined;
 }
 
-/** A target's report, and whether it says that the call was not run. */
+/** A parsed report header: the target's report, and whether it says that the call was not run. */
 export interface ParsedReport {
   readonly notRun: boolean;
   readonly report: TargetReport;
@@ -133,7 +133,7 @@
   report: { state: undefined, inFlight: undefined },
 };
 
-/** Reads a report header; parts that cannot be read are ignored. */
+/** Parses a report header; unknown and malformed parts are ignored. */
 export function parseReport(value: string | undefined): ParsedReport {
   if (value === undefined) return NO_REPORT;
   let notRun = false;
--- a/src/proxy/http-listener.ts
+++ b/src/proxy/http-listener.ts
@@ -1,35 +1,37 @@
-/** An HTTP listener for callers or for calls handed over between entries. */
+/** An HTTP listener, for callers or for calls relayed between entries. */
 import http, { type IncomingMessage, type ServerResponse } from 'node:http';
 import type { Duplex } from 'node:stream';
 import type { Address, KeyPair, Listener, Network } from '../kernel/index.js';
 import { type HeadRefusal, checkHead, normalizeTarget } from './head-check.js';
 import { createNotRun } from './outcome.js';
 
-/** What a listener is made from. */
+/** Configuration and callbacks of a listener. */
 export interface HttpListenerOptions {
   readonly network: Network;
   readonly address: Address;
+  /** Certificate and key; without them the listener is plain HTTP. */
   readonly keys?: KeyPair;
   readonly maxConnections: number;
   readonly maxHeaderBytes: number;
-  /** Longest wait for the headers of a call, in milliseconds. */
+  /** Timeout for receiving the headers of a call, in milliseconds. */
   readonly headerTimeout: number;
-  /** Longest pause inside the body of a call, in milliseconds. */
+  /** Timeout for a pause within the body of a call, in milliseconds. */
   readonly bodyTimeout: number;
   readonly handle: (request: IncomingMessage, response: ServerResponse) => void;
-  /** Called for each request that was turned away at the door. */
+  /** Called for each request or connection that the listener rejects. */
   readonly onRefused: (detail: string) => void;
 }
 
 /** A running listener. */
 export interface HttpListener {
   readonly address: Address;
-  /** Connections open now. */
+  /** Returns the number of open connections. */
   countConnections(): number;
+  /** Replaces the certificate and key for new connections. */
   replaceKeys(keys: KeyPair): void;
-  /** Stops accepting, closes idle connections, and answers busy ones with `Connection: close`. */
+  /** Stops accepting and closes idle connections; answers on busy ones get `Connection: close`. */
   drain(): Promise<void>;
-  /** Closes every connection. */
+  /** Stops accepting and closes all connections immediately. */
   destroy(): void;
 }
 
@@ -53,7 +55,7 @@
 }
 
 function refuseRequest(response: ServerResponse, refusal: HeadRefusal): void {
-  // The framing of a refused request is not trusted, so its connection ends with the answer.
+  // The framing of a rejected request cannot be trusted, so its connection closes after the answer.
   response.shouldKeepAlive = false;
   const outcome = createNotRun('bad-request', refusal.detail);
   const body = JSON.stringify({ ...outcome, outcome: 'not-run', status: refusal.status });
@@ -100,7 +102,7 @@
   server.on('checkExpectation', serveRequest);
   server.on('connect', (_request: IncomingMessage, socket: Duplex) => {
     options.onRefused('CONNECT');
-    writeRawRefusal(socket, NOT_IMPLEMENTED, 'CONNECT is not served');
+    writeRawRefusal(socket, NOT_IMPLEMENTED, 'CONNECT is not supported');
   });
   const findOpenResponses = (socket: Duplex) =>
     [...openResponses].filter((response) => response.req.socket === socket);
@@ -110,7 +112,7 @@
     options.onRefused(code);
     const responses = findOpenResponses(socket);
     if (code === 'ECONNRESET' || responses.some((response) => !response.req.complete)) {
-      // Part of a call was passed on already, so nothing true can be said of it here.
+      // Part of a call has been forwarded already, so it is unknown here whether it ran.
       socket.destroy();
       return;
     }
@@ -119,16 +121,16 @@
       writeRawRefusal(socket, PARSER_STATUS[code] ?? BAD_REQUEST, error.message);
       return;
     }
-    // The calls before the bad bytes are answered first: no answer may overtake another.
+    // Pipelined calls before the malformed bytes are answered first, as answers must stay in order.
     last.shouldKeepAlive = false;
     last.on('finish', () => socket.end());
   });
   server.setTimeout(options.bodyTimeout, (socket: Duplex) => {
-    // A pause while the target works is not the caller's; only an unfinished body is.
+    // The timeout is for an unfinished body only, not for a pause while the target runs the call.
     if (findOpenResponses(socket).some((response) => !response.req.complete)) socket.destroy();
   });
 
-  // The library checks for slow headers only once it believes that it listens itself.
+  // `network` listens in place of this server, but node:http checks for slow headers only after `listening`.
   server.emit('listening');
   const listener: Listener = await options.network.listen({
     address: options.address,
--- a/src/proxy/index.ts
+++ b/src/proxy/index.ts
@@ -1,4 +1,4 @@
-/** Calls over HTTP: the door, reading a call, attempts at targets, and what a caller is told. */
+/** HTTP proxying: listeners, request validation, call parsing, attempts at targets, and outcomes. */
 export * from './outcome.js';
 export * from './headers.js';
 export * from './call.js';
--- a/src/proxy/ledger.ts
+++ b/src/proxy/ledger.ts
@@ -1,14 +1,14 @@
-/** The account of what was sent for one call, by which every outcome is judged. */
+/** Records which attempts of a call may have run; outcomes are checked against it. */
 import { assertInvariant } from '../kernel/index.js';
 
-/** Counts the sendings of a call that were not shown to be without effect. */
+/** Counts the attempts of a call that were sent and are not known not to have run. */
 export class SendLedger {
   #possiblyRun = 0;
 
   /** @param repeatable whether the call may be repeated */
   constructor(private readonly repeatable: boolean) {}
 
-  /** Notes that the first byte of a sending may have been written. */
+  /** Records that the first byte of an attempt may have been written. Asserts that it may be sent. */
   recordSent(): void {
     this.#possiblyRun += 1;
     assertInvariant(
@@ -17,17 +17,20 @@
     );
   }
 
-  /** Notes that a sending was shown not to have run. */
+  /** Records that an attempt that was sent is known not to have run. */
   recordNotRun(): void {
     this.#possiblyRun -= 1;
   }
 
-  /** Checks that nothing is left that may have run. */
+  /** Asserts that no attempt may have run. */
   assertNotRun(): void {
-    assertInvariant(this.#possiblyRun === 0, 'not run is said only when no sending may have run');
+    assertInvariant(
+      this.#possiblyRun === 0,
+      'not run is reported only when no attempt may have run',
+    );
   }
 
-  /** Whether a sending is left that may have run. */
+  /** Whether any attempt may have run. */
   get mayHaveRun(): boolean {
     return this.#possiblyRun > 0;
   }
--- a/src/proxy/outcome.ts
+++ b/src/proxy/outcome.ts
@@ -1,7 +1,7 @@
-/** What a caller is told when there is no whole answer: the call was not run, or nobody knows. */
+/** Outcomes reported to a caller in place of an answer: the call was not run, or it may have run. */
 import type { ServerResponse } from 'node:http';
 
-/** The response header that carries the outcome. An answer without it is the whole answer. */
+/** Response header that carries the outcome. A response without it is the target's answer. */
 export const OUTCOME_HEADER = 'orchidbeam-outcome';
 
 /** Why a call was certainly not run. */
@@ -23,17 +23,17 @@
   | 'key-reused'
   | 'bad-request';
 
-/** Why nobody can say whether a call ran. */
+/** Why it is unknown whether a call ran. */
 export type UnknownReason =
   'duplicate' | 'deadline' | 'connection-lost' | 'undelimited-answer' | 'wrong-answer' | 'stopping';
 
-/** An outcome other than the whole answer. */
+/** An outcome other than the target's answer. */
 export type Outcome =
   | {
       readonly kind: 'not-run';
       readonly reason: NotRunReason;
       readonly detail: string;
-      /** When the same call may be tried again, in milliseconds; 0 when that would not help. */
+      /** Milliseconds after which the same call may be retried; 0 when a retry would not help. */
       readonly retryAfter: number;
     }
   | { readonly kind: 'unknown'; readonly reason: UnknownReason; readonly detail: string };
@@ -57,12 +57,12 @@
 
 const DEFAULT_NOT_RUN_STATUS = 503;
 
-/** Makes a *not run* outcome. */
+/** Creates a *not run* outcome. */
 export function createNotRun(reason: NotRunReason, detail: string, retryAfter = 0): Outcome {
   return { kind: 'not-run', reason, detail, retryAfter };
 }
 
-/** Makes an *unknown* outcome. */
+/** Creates an *unknown* outcome. */
 export function createUnknown(reason: UnknownReason, detail: string): Outcome {
   return { kind: 'unknown', reason, detail };
 }
