--- a/test/decisions.test.ts
+++ b/test/decisions.test.ts
@@ -1,4 +1,4 @@
-/** The decisions through a whole daemon: retries, hedges, classes, holds, and what they may cost. */
+/** Decisions on calls in a whole daemon: retries, hedges and their budgets, policies and classes. */
 import { expect } from 'chai';
 import type { Entry } from '../src/entry/index.js';
 import type { TargetServer } from '../src/standin/index.js';
@@ -12,7 +12,7 @@
   writeService,
 } from './helpers/fleet.js';
 
-describe('decisions through a daemon', () => {
+describe('decisions on calls in a daemon', () => {
   let fleet: Fleet;
   let entry: Entry;
   let targets: TargetServer[];
@@ -42,7 +42,7 @@
 
   afterEach(() => fleet.close());
 
-  it('lookups are answered whole while one of three targets resets every call', async () => {
+  it('most GET calls are answered completely while one of three targets resets every call', async () => {
     await open(3, 'retry_percent = 50');
     targets[0]?.setFault({ kind: 'reset' });
     const replies = await sendMany(60);
@@ -52,7 +52,7 @@
     expect(['ejected', 'trial']).to.include(bad?.readState().kind);
   });
 
-  it('retries stay within their share when every target sheds', async () => {
+  it('retries stay within their budget when every target rejects its calls', async () => {
     await open(3, 'retry_percent = 10');
     for (const target of targets) target.setFault({ kind: 'shed' });
     await sendMany(100);
@@ -66,7 +66,7 @@
     expect(countCalls()).to.equal(20);
   });
 
-  it('a posting without a key is sent to one target only, whatever happens', async () => {
+  it('a POST without an idempotency key is sent to one target only, even if that fails', async () => {
     await open(3, 'retry_percent = 100\nhedge_percent = 100');
     for (const target of targets) target.setFault({ kind: 'reset' });
     const replies = await sendMany(20, { method: 'POST', body: 'x' });
@@ -74,7 +74,7 @@
     for (const { headers } of replies) expect(headers['orchidbeam-outcome']).to.equal('unknown');
   });
 
-  it('a hanging target holds no lookup: a second target answers', async () => {
+  it('GET calls at a hanging target are hedged and answered by another target', async () => {
     await open(3, 'hedge_percent = 100');
     await sendMany(40);
     targets[0]?.setFault({ kind: 'hang' });
@@ -83,7 +83,7 @@
     expect(entry.table.findByName('test')?.hedgeBudget.spent).to.be.above(0);
   });
 
-  it('a policy refuses one caller and tells it why', async () => {
+  it('a policy refuses the calls of one caller and gives the reason', async () => {
     await open(1, '', '[policy old]\nprogram = call.caller == "old" ? refuse("retired") : pass()');
     const [refused] = await sendMany(1, { headers: { 'orchidbeam-caller': 'old' } });
     expect(refused?.status).to.equal(429);
@@ -91,14 +91,14 @@
     expect((await sendMany(1))[0]?.status).to.equal(200);
   });
 
-  it('a policy that fails at run time is counted, and the call passes', async () => {
+  it('a policy that fails at run time is counted, and the call is served', async () => {
     const policy = '[policy broken]\nprogram = call.headers["x-none"] == "" ? refuse("r") : pass()';
     await open(1, '', policy);
     expect((await sendMany(1))[0]?.status).to.equal(200);
     expect(entry.table.findByName('test')?.counts.policyFailures).to.equal(1);
   });
 
-  it('a share of callers goes to the canary pool, and stays there', async () => {
+  it('a policy sends a fraction of the callers to the canary pool, always the same ones', async () => {
     await open(2);
     const [main, canary] = targets.map(({ address }) => address);
     const text = `${writeService([main])}
@@ -121,10 +121,10 @@
     expect([0, 10]).to.include(after - before);
   });
 
-  it('urgent calls pass ahead of those that wait', async () => {
+  it('a call of a class with a higher weight overtakes waiting calls', async () => {
     const classes =
       '[class urgent]\nweight = 100\nwait = 5s\n[class normal]\nweight = 1\nwait = 5s';
-    // Long enough that all have come before the first ones end, also on a busy machine.
+    // The service time lets all calls arrive before the first ones end, also on a busy machine.
     await open(1, '', classes, 300);
     const order: string[] = [];
     const recordOrder = (name: string) => () => {
@@ -136,7 +136,7 @@
     }
     await waitUntil(
       () => (entry.table.findByName('test')?.listPools()[0]?.pool.readLoad().waiting ?? 0) >= 12,
-      'they wait',
+      'the other calls wait',
     );
     const urgent = { headers: { 'orchidbeam-class': 'urgent' } };
     calls.push(send(entry.callersAddress, urgent).then(recordOrder('urgent')));
@@ -144,7 +144,7 @@
     expect(order.indexOf('urgent')).to.be.below(12);
   });
 
-  it('a configuration change keeps the calls in flight and the targets known', async () => {
+  it('a configuration change keeps the calls in flight and the state of the targets', async () => {
     await open(1, '', '', 400);
     const slow = send(entry.callersAddress, { headers: { 'x-token': 'slow' } });
     await waitUntil(() => targets[0]?.counts.calls === 1, 'the call arrived');
--- a/test/door.test.ts
+++ b/test/door.test.ts
@@ -1,4 +1,7 @@
-/** Bad input at the door: raw bytes in, a clear refusal or nothing at all out, and no call at a target. */
+/**
+ * Malformed and hostile requests, sent as raw bytes: each gets an error response or a closed
+ * connection, and none reaches a target unless its body breaks only after its head was accepted.
+ */
 import net from 'node:net';
 import { expect } from 'chai';
 import type { Entry } from '../src/entry/index.js';
@@ -11,45 +14,45 @@
 interface RequestCase {
   readonly what: string;
   readonly bytes: string;
-  /** Statuses of all answers, in order; none for a connection that just ends. */
+  /** Statuses of all responses in order; empty if the connection closes without one. */
   readonly statuses: readonly number[];
-  /** Calls that reach the target. */
+  /** Maximum number of calls that reach the target. */
   readonly calls: number;
 }
 
 const REFUSED_REQUESTS: readonly RequestCase[] = [
   {
-    what: 'both lengths',
+    what: 'both Content-Length and Transfer-Encoding',
     bytes: `POST / HTTP/1.1\r\n${HEAD}Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /x HTTP/1.1\r\n${HEAD}\r\n`,
     statuses: [400],
     calls: 0,
   },
   {
-    what: 'two different lengths',
+    what: 'two different Content-Lengths',
     bytes: `POST / HTTP/1.1\r\n${HEAD}Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd`,
     statuses: [400],
     calls: 0,
   },
   {
-    what: 'a negative length',
+    what: 'a negative Content-Length',
     bytes: `POST / HTTP/1.1\r\n${HEAD}Content-Length: -1\r\n\r\n`,
     statuses: [400],
     calls: 0,
   },
   {
-    what: 'a length with a sign',
+    what: 'a Content-Length with a plus sign',
     bytes: `POST / HTTP/1.1\r\n${HEAD}Content-Length: +3\r\n\r\nabc`,
     statuses: [400],
     calls: 0,
   },
   {
-    what: 'a coding before chunked',
+    what: 'another transfer coding before chunked',
     bytes: `POST / HTTP/1.1\r\n${HEAD}Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n`,
     statuses: [501],
     calls: 0,
   },
   {
-    what: 'chunked before another coding',
+    what: 'chunked before another transfer coding',
     bytes: `POST / HTTP/1.1\r\n${HEAD}Transfer-Encoding: chunked, identity\r\n\r\n0\r\n\r\n`,
     statuses: [400],
     calls: 0,
@@ -73,14 +76,14 @@
     calls: 0,
   },
   {
-    what: 'two Hosts',
+    what: 'two Host headers',
     bytes: `GET / HTTP/1.1\r\n${HEAD}Host: other.example\r\n\r\n`,
     statuses: [400],
     calls: 0,
   },
-  { what: 'no Host', bytes: 'GET / HTTP/1.1\r\n\r\n', statuses: [400], calls: 0 },
+  { what: 'no Host header', bytes: 'GET / HTTP/1.1\r\n\r\n', statuses: [400], calls: 0 },
   {
-    what: 'a Host that is none',
+    what: 'an invalid Host',
     bytes: 'GET / HTTP/1.1\r\nHost: a b\r\n\r\n',
     statuses: [400],
     calls: 0,
@@ -98,7 +101,7 @@
     calls: 0,
   },
   {
-    what: 'too large headers',
+    what: 'headers that are too large',
     bytes: `GET / HTTP/1.1\r\n${HEAD}X-A: ${LONG}${LONG}\r\n\r\n`,
     statuses: [431],
     calls: 0,
@@ -128,7 +131,7 @@
     statuses: [417],
     calls: 0,
   },
-  { what: 'no HTTP at all', bytes: 'hello\r\n\r\n', statuses: [400], calls: 0 },
+  { what: 'bytes that are not HTTP', bytes: 'hello\r\n\r\n', statuses: [400], calls: 0 },
   {
     what: 'a NUL in a header',
     bytes: `GET / HTTP/1.1\r\n${HEAD}X-A: a\0b\r\n\r\n`,
@@ -136,13 +139,13 @@
     calls: 0,
   },
   {
-    what: 'a deadline that is no number',
+    what: 'an Orchidbeam-Deadline that is not a number',
     bytes: `GET / HTTP/1.1\r\n${HEAD}Orchidbeam-Deadline: soon\r\nConnection: close\r\n\r\n`,
     statuses: [400],
     calls: 0,
   },
   {
-    what: 'an unclear Orchidbeam-Repeatable',
+    what: 'an invalid Orchidbeam-Repeatable',
     bytes: `GET / HTTP/1.1\r\n${HEAD}Orchidbeam-Repeatable: maybe\r\nConnection: close\r\n\r\n`,
     statuses: [400],
     calls: 0,
@@ -157,19 +160,19 @@
     calls: 2,
   },
   {
-    what: 'a target in absolute form',
+    what: 'a request target in absolute form',
     bytes: `GET http://test.example/1 HTTP/1.1\r\nHost: ignored.example\r\nConnection: close\r\n\r\n`,
     statuses: [200],
     calls: 1,
   },
   {
-    what: 'an Upgrade, as an ordinary call',
+    what: 'an Upgrade request, handled as an ordinary call',
     bytes: `GET /1 HTTP/1.1\r\n${HEAD}Connection: close, Upgrade\r\nUpgrade: websocket\r\n\r\n`,
     statuses: [200],
     calls: 1,
   },
   {
-    what: 'a body longer than declared: the rest is no call',
+    what: 'a body longer than declared, whose excess bytes are not a call',
     bytes: `POST / HTTP/1.1\r\n${HEAD}Content-Length: 1\r\n\r\naGARBAGE\r\n\r\n`,
     statuses: [201],
     calls: 1,
@@ -184,7 +187,7 @@
 
 const BROKEN_BODIES: readonly RequestCase[] = [
   {
-    what: 'a bad chunk size',
+    what: 'an invalid chunk size',
     bytes: `POST / HTTP/1.1\r\n${HEAD}Transfer-Encoding: chunked\r\n\r\nzz\r\nabc\r\n0\r\n\r\n`,
     statuses: [400],
     calls: 1,
@@ -197,7 +200,7 @@
   },
 ];
 
-describe('the door', () => {
+describe('validation of requests', () => {
   const fleet = new Fleet({ settings: '[limits]\nheader_timeout = 300ms\nbody_timeout = 300ms\n' });
   let entry: Entry;
   let target: TargetServer;
@@ -210,7 +213,7 @@
 
   after(() => fleet.close());
 
-  /** Sends bytes and reads until the connection ends. */
+  /** Sends bytes and returns what is received until the connection closes. */
   const exchange = (bytes: string, end = false): Promise<string> =>
     new Promise((resolve) => {
       const socket = net.connect(entry.callersAddress.port, entry.callersAddress.host);
@@ -234,15 +237,15 @@
       if (calls === 0) expect(text).to.include('orchidbeam-outcome: not-run');
     });
 
-  describe('turns away', () => {
+  describe('rejects', () => {
     for (const row of REFUSED_REQUESTS) testRequest(row);
   });
 
-  describe('lets in', () => {
+  describe('accepts', () => {
     for (const row of ACCEPTED_REQUESTS) testRequest(row);
   });
 
-  describe('ends a call whose body breaks off', () => {
+  describe('closes the connection without a response for', () => {
     for (const { what, bytes } of BROKEN_BODIES) {
       it(what, async () => {
         const text = await exchange(bytes);
@@ -258,7 +261,7 @@
     });
   });
 
-  describe('does not wait for ever', () => {
+  describe('does not wait forever', () => {
     it('for slow headers', async () => {
       const text = await exchange(`GET / HTTP/1.1\r\n${HEAD}`);
       expect(readStatuses(text)).to.deep.equal([408]);
@@ -269,14 +272,14 @@
       expect(readStatuses(text)).to.deep.equal([]);
     });
 
-    it('for a caller that closed its half, and so went away', async () => {
+    it('for a caller that half-closed its connection, which counts as gone', async () => {
       const text = await exchange(`GET /1 HTTP/1.1\r\n${HEAD}\r\n`, true);
       expect(readStatuses(text)).to.deep.equal([]);
     });
   });
 
-  describe('does not pass on', () => {
-    it('headers of ours that a caller made up', async () => {
+  describe('does not forward', () => {
+    it('internal Orchidbeam headers that a caller sends', async () => {
       const headers = {
         'orchidbeam-relay': 'x',
         'orchidbeam-report': 'not-run',
--- a/test/entry.test.ts
+++ b/test/entry.test.ts
@@ -1,4 +1,4 @@
-/** Whole daemons in this process: handing over, at most once, streams, and planned stops. */
+/** Several entry daemons in one process: relaying, at-most-once execution, streaming, planned stops. */
 import http from 'node:http';
 import net from 'node:net';
 import { expect } from 'chai';
@@ -20,7 +20,7 @@
   headers: { 'idempotency-key': 'k-1', 'x-token': 't', 'content-length': 1 },
 };
 
-describe('entries together', () => {
+describe('several entries', () => {
   let fleet: Fleet;
   let target: TargetServer;
   let entries: Entry[];
@@ -33,7 +33,7 @@
     for (let index = 0; index < count; index += 1) entries.push(await fleet.start(`hu/${index}`));
     await waitUntil(
       () => entries.every(({ membership }) => membership.listCandidates().length === count),
-      'all joined',
+      'all entries joined',
     );
   };
 
@@ -43,8 +43,8 @@
 
   afterEach(() => fleet.close());
 
-  describe('a call at an entry that is not its home', () => {
-    it('is handed over and answered whole', async () => {
+  describe('a call at an entry that is not a home of its service', () => {
+    it('is relayed to a home and answered completely', async () => {
       await open(3);
       const reply = await send(findOther().callersAddress, { headers: { 'x-token': 'mine' } });
       expect(reply.status).to.equal(200);
@@ -52,7 +52,7 @@
       expect(findHome().table.findByName('test')?.counts.answered).to.equal(1);
     });
 
-    it('carries an outcome of the home unchanged', async () => {
+    it('returns the outcome of the home unchanged', async () => {
       await open(2);
       target.setFault({ kind: 'shed' });
       const reply = await send(findOther().callersAddress, POST_WITH_KEY);
@@ -60,7 +60,7 @@
       expect(JSON.parse(reply.text)).to.include({ reason: 'target-shed' });
     });
 
-    it('is served on the spot when the home has just died', async () => {
+    it('is served by this entry when the home has just crashed', async () => {
       await open(2);
       const other = findOther();
       findHome().destroy();
@@ -68,7 +68,7 @@
       expect(reply.status).to.equal(200);
     });
 
-    it('streams a large body both ways', async () => {
+    it('streams large bodies in both directions', async () => {
       await open(2);
       const body = Buffer.alloc(3_000_000, 'u');
       const headers = { 'x-token': 'up', 'x-answer-bytes': 2_000_000 };
@@ -78,7 +78,7 @@
       expect(JSON.parse(reply.text)).to.include({ token: 'up', bytes: body.length });
     });
 
-    it('cannot be handed over by a stranger', async () => {
+    it('is refused on the relay listener without the secret of the entries', async () => {
       await open(1);
       const [entry] = entries as [Entry];
       const relay = entry.membership.self.relay.split(':');
@@ -89,7 +89,7 @@
   });
 
   describe('a caller that knows only one of two homes', () => {
-    it('has its waiting calls served by the targets of the other one too', async () => {
+    it('has its waiting calls also served by the targets of the other home', async () => {
       fleet = new Fleet();
       const targets = [
         await fleet.startTarget({ serviceTime: 100 }),
@@ -102,7 +102,7 @@
       );
       putDocuments(fleet.store, { 'service/test': text });
       const [known] = [await fleet.start(), await fleet.start('hu/b')] as [Entry, Entry];
-      await waitUntil(() => known.membership.listCandidates().length === 2, 'joined');
+      await waitUntil(() => known.membership.listCandidates().length === 2, 'both entries joined');
       await waitUntil(
         () => known.table.findByName('test')?.listPools()[0]?.pool.targets.length === 1,
         'each home has one target',
@@ -114,8 +114,8 @@
     });
   });
 
-  describe('a posting that may run only once', () => {
-    it('runs once when the same key comes to every entry at the same time', async () => {
+  describe('a POST with an idempotency key', () => {
+    it('runs once when every entry receives the same key at the same time', async () => {
       await open(3);
       const replies = await Promise.all(entries.map((e) => send(e.callersAddress, POST_WITH_KEY)));
       expect(replies.filter(({ status }) => status === 201)).to.have.length(1);
@@ -125,7 +125,7 @@
       expect(target.runs.get('k-1')).to.equal(1);
     });
 
-    it('does not run again at a daemon that was restarted with empty memory', async () => {
+    it('does not run again at a daemon that restarted without any memory of it', async () => {
       await open(1);
       const [first] = entries as [Entry];
       await send(first.callersAddress, POST_WITH_KEY);
@@ -137,7 +137,7 @@
       expect(target.runs.get('k-1')).to.equal(1);
     });
 
-    it('is refused as not run while the platform is down, and runs when it is sent again', async () => {
+    it('is refused as not run while the platform is down, and runs when it is resent afterwards', async () => {
       await open(1);
       const [entry] = entries as [Entry];
       fleet.store.setFault({ kind: 'down' });
@@ -148,7 +148,7 @@
       expect(target.runs.get('k-1')).to.equal(1);
     });
 
-    it('frees its key when it was not run', async () => {
+    it('releases its key when it was not run', async () => {
       await open(1);
       const [entry] = entries as [Entry];
       target.setFault({ kind: 'shed' });
@@ -157,7 +157,7 @@
       expect((await send(entry.callersAddress, POST_WITH_KEY)).status).to.equal(201);
     });
 
-    it('runs once although the reply of the platform is lost', async () => {
+    it('runs at most once when the reply of the platform is lost', async () => {
       await open(2);
       fleet.store.setFault({ kind: 'lose-write-replies' });
       const [a, b] = entries as [Entry, Entry];
@@ -166,7 +166,7 @@
       for (const reply of replies) expect(reply.status).not.to.equal(200);
     });
 
-    it('refuses a key that belongs to another path', async () => {
+    it('is refused when its key was used for another path', async () => {
       await open(1);
       const [entry] = entries as [Entry];
       await send(entry.callersAddress, POST_WITH_KEY);
@@ -177,7 +177,7 @@
   });
 
   describe('a caller', () => {
-    it('that hangs up cancels its call at the target', async () => {
+    it('that closes its connection cancels its call at the target', async () => {
       await open(1, '', '', 2000);
       const [entry] = entries as [Entry];
       const socket = net.connect(entry.callersAddress.port, entry.callersAddress.host);
@@ -187,14 +187,14 @@
       await waitUntil(() => target.counts.cancelled === 1, 'the call was cancelled');
     });
 
-    it('gets an answer to HEAD without a body', async () => {
+    it('gets an answer without a body to a HEAD request', async () => {
       await open(1);
       const [entry] = entries as [Entry];
       const reply = await send(entry.callersAddress, { method: 'HEAD' });
       expect(reply).to.include({ status: 200, text: '', whole: true });
     });
 
-    it('is not told to send its body before the call has a slot', async () => {
+    it('gets 100 Continue only after its call has a slot', async () => {
       await open(1, '', '', 300);
       const [entry] = entries as [Entry];
       for (let index = 0; index < 4; index += 1) {
@@ -217,7 +217,7 @@
       });
     });
 
-    it('is refused while nothing is configured', async () => {
+    it('is refused while the entry has no configuration', async () => {
       fleet = new Fleet();
       fleet.store.setFault({ kind: 'down' });
       const entry = await fleet.start();
@@ -226,11 +226,11 @@
       expect(JSON.parse(reply.text)).to.include({ reason: 'no-configuration', outcome: 'not-run' });
     });
 
-    it('is refused by a service that would rather not run on an old configuration', async () => {
+    it('is refused when the configuration is stale and the service has when_stale = refuse', async () => {
       await open(1, 'when_stale = refuse\nstale_after = 50ms');
       const [entry] = entries as [Entry];
       fleet.store.setFault({ kind: 'down' });
-      await waitUntil(() => entry.follower.proofAge > 60, 'the proof is old');
+      await waitUntil(() => entry.follower.proofAge > 60, 'the proof of currency is too old');
       const reply = await send(entry.callersAddress);
       expect(JSON.parse(reply.text)).to.include({ reason: 'configuration-not-current' });
     });
@@ -239,14 +239,17 @@
   describe('a planned stop', () => {
     const LIMITS = '[limits]\nanswer_ttl = 300ms\n';
 
-    it('cuts no call in flight, and leaves the answers to callers at once', async () => {
+    it('cuts no call in flight, and withdraws the entry from discovery at once', async () => {
       await open(2, '', LIMITS, 900);
       const home = findHome();
       const other = findOther();
       const slow = send(home.callersAddress, { headers: { 'x-token': 'slow' } });
       await waitUntil(() => target.counts.calls === 1, 'the call arrived');
       const stopping = home.stop();
-      await waitUntil(() => other.table.findByName('test')?.placement.isHome === true, 'moved');
+      await waitUntil(
+        () => other.table.findByName('test')?.placement.isHome === true,
+        'the home moved',
+      );
       const path = '/.well-known/orchidbeam/entries?service=test';
       const answer = await send(other.callersAddress, { path });
       expect(answer.text).not.to.include(`:${home.callersAddress.port}"`);
@@ -257,7 +260,7 @@
       expect((await send(other.callersAddress)).status).to.equal(200);
     });
 
-    it('ends calls truthfully when its time is over', async () => {
+    it('reports the outcome of calls that are still running when the grace period ends', async () => {
       await open(1, 'deadline = 60s', LIMITS);
       const [entry] = entries as [Entry];
       target.setFault({ kind: 'hang' });
@@ -271,7 +274,7 @@
 });
 
 describe('a leaving target', () => {
-  it('gets nothing new in any daemon within three seconds of its first word', async () => {
+  it('gets no new calls from any daemon three seconds after it first reports draining', async () => {
     const fleet = new Fleet();
     const leaving = await fleet.startTarget();
     const staying = await fleet.startTarget();
@@ -290,8 +293,8 @@
   });
 });
 
-describe('a short soak', () => {
-  it('breaks no promise', async () => {
+describe('a short soak test', () => {
+  it('finds no violation', async () => {
     const report = await runSoak({ seed: 11, seconds: 6, rate: 120, entries: 4, targets: 5 });
     expect(report.violations).to.deep.equal([]);
     expect(report.calls).to.be.above(200);
--- a/test/helpers/fleet.ts
+++ b/test/helpers/fleet.ts
@@ -1,20 +1,20 @@
-/** Requests to daemons, and waiting for what they come to. */
+/** Helpers that send requests to daemons and wait for conditions. */
 import http from 'node:http';
 import { pause } from '../../src/demo/index.js';
 import type { Address } from '../../src/kernel/index.js';
 
 export { Fleet, SECRET, putDocuments, writeService } from '../../src/demo/fleet.js';
 
-/** An answer as read by {@link send}. */
+/** A response as read by {@link send}. */
 export interface Reply {
   readonly status: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly text: string;
-  /** Whether the answer came to its proper end. */
+  /** Whether the response was received completely. */
   readonly whole: boolean;
 }
 
-/** What to send. */
+/** Properties of a request; a plain `GET /` by default. */
 export interface RequestOptions {
   readonly method?: string;
   readonly path?: string;
@@ -47,11 +47,11 @@
   });
 }
 
-/** Waits until a condition holds. */
+/** Waits until a condition holds; throws after about ten seconds, naming it by `description`. */
 export async function waitUntil(condition: () => boolean, description: string): Promise<void> {
   for (let poll = 0; poll < 500; poll += 1) {
     if (condition()) return;
     await pause(20);
   }
-  throw new Error(`never came true: ${description}`);
+  throw new Error(`timed out waiting for: ${description}`);
 }
--- a/test/proxy.test.ts
+++ b/test/proxy.test.ts
@@ -1,4 +1,4 @@
-/** The targets' interface: what a caller is told for each way in which a target can behave. */
+/** What a caller receives for each way in which a target can behave or fail. */
 import { expect } from 'chai';
 import type { Entry } from '../src/entry/index.js';
 import { InvariantError } from '../src/kernel/index.js';
@@ -30,87 +30,87 @@
 
 const FAULT_CASES: readonly FaultCase[] = [
   {
-    what: 'a healthy target, lookup',
+    what: 'a healthy target, GET',
     fault: { kind: 'none' },
     sending: GET,
     expected: { outcome: undefined, status: 200, whole: true },
   },
   {
-    what: 'a healthy target, posting',
+    what: 'a healthy target, POST',
     fault: { kind: 'none' },
     sending: POST,
     expected: { outcome: undefined, status: 201, whole: true },
   },
   {
-    what: 'shed by its word',
+    what: 'a target that reports that it rejected the call',
     fault: { kind: 'shed' },
     sending: POST,
     expected: { outcome: 'not-run', reason: 'target-shed' },
   },
   {
-    what: 'draining and refusing',
+    what: 'a draining target that rejects calls',
     fault: { kind: 'draining', refuses: true },
     sending: POST,
     expected: { outcome: 'not-run' },
   },
   {
-    what: 'reset after it ran, posting',
+    what: 'a connection reset after a POST ran',
     fault: { kind: 'reset' },
     sending: POST,
     expected: { outcome: 'unknown', reason: 'connection-lost' },
   },
   {
-    what: 'reset after it ran, lookup',
+    what: 'a connection reset after a GET ran',
     fault: { kind: 'reset' },
     sending: GET,
     expected: { outcome: 'unknown', reason: 'connection-lost' },
   },
   {
-    what: 'hanging past the deadline',
+    what: 'a target that hangs past the deadline',
     fault: { kind: 'hang' },
     sending: { ...POST, headers: { 'orchidbeam-deadline': '80' } },
     expected: { outcome: 'unknown', reason: 'deadline' },
   },
   {
-    what: 'an error of its own',
+    what: 'an error response of the target',
     fault: { kind: 'fail-fast' },
     sending: POST,
     expected: { outcome: undefined, status: 500, whole: true },
   },
   {
-    what: 'an answer to another call',
+    what: 'an answer that belongs to another call',
     fault: { kind: 'wrong-answer' },
     sending: POST,
     expected: { outcome: 'unknown', reason: 'wrong-answer' },
   },
   {
-    what: 'cut short of its length',
+    what: 'an answer shorter than its Content-Length',
     fault: { kind: 'cut', framing: 'length' },
     sending: POST,
     expected: { outcome: undefined, whole: false },
   },
   {
-    what: 'cut without its last chunk',
+    what: 'a chunked answer without its last chunk',
     fault: { kind: 'cut', framing: 'chunked' },
     sending: POST,
     expected: { outcome: undefined, whole: false },
   },
   {
-    what: 'ended by its connection',
+    what: 'an answer delimited only by the end of its connection',
     fault: { kind: 'cut', framing: 'close' },
     sending: POST,
     expected: { outcome: 'unknown', reason: 'undelimited-answer' },
   },
 ];
 
-describe('the ledger of a call', () => {
-  it('stops the process when a call that may not be repeated is sent twice', () => {
+describe('the send ledger of a call', () => {
+  it('throws an InvariantError when a call that may not be repeated is sent twice', () => {
     const ledger = new SendLedger(false);
     ledger.recordSent();
     expect(() => ledger.recordSent()).to.throw(InvariantError);
   });
 
-  it('lets it be sent again once it was shown not to have run', () => {
+  it('allows another attempt once the earlier one is known not to have run', () => {
     const ledger = new SendLedger(false);
     ledger.recordSent();
     ledger.recordNotRun();
@@ -118,7 +118,7 @@
     expect(ledger.mayHaveRun).to.equal(true);
   });
 
-  it('stops the process when not run would be said of a call that may have run', () => {
+  it('throws an InvariantError when a call that may have run would be reported as not run', () => {
     const ledger = new SendLedger(true);
     ledger.recordSent();
     expect(() => ledger.assertNotRun()).to.throw(InvariantError);
@@ -139,7 +139,7 @@
 
   afterEach(() => fleet.close());
 
-  describe('what the caller is told', () => {
+  describe('the outcome that the caller receives', () => {
     for (const { what, fault, sending, expected } of FAULT_CASES) {
       it(`${what}: ${expected.outcome ?? (expected.whole === false ? 'cut' : 'whole')}`, async () => {
         target.setFault(fault);
@@ -156,15 +156,15 @@
       });
     }
 
-    it('an unknown host: not run', async () => {
+    it('a call for an unknown host: not run', async () => {
       const reply = await send(entry.callersAddress, { headers: { host: 'other.example' } });
       expect(reply.status).to.equal(404);
       expect(reply.headers['orchidbeam-outcome']).to.equal('not-run');
     });
   });
 
-  describe('which entries to use', () => {
-    it('names a home and a time to live', async () => {
+  describe('service discovery', () => {
+    it('returns a home and a time to live', async () => {
       const path = '/.well-known/orchidbeam/entries?service=test';
       const reply = await send(entry.callersAddress, { path });
       const answer = JSON.parse(reply.text) as { ttl: number; entries: { address: string }[] };
@@ -172,7 +172,7 @@
       expect(answer.entries).to.have.length(1);
     });
 
-    it('says so when there is no such service', async () => {
+    it('answers 404 for an unknown service', async () => {
       const path = '/.well-known/orchidbeam/entries?service=none';
       expect((await send(entry.callersAddress, { path })).status).to.equal(404);
     });
--- a/test/tls.test.ts
+++ b/test/tls.test.ts
@@ -1,4 +1,4 @@
-/** TLS for callers, and keys that are replaced without a restart. */
+/** TLS for callers, replacement of keys without a restart, and TLS between entries. */
 import { mkdtempSync, writeFileSync } from 'node:fs';
 import https from 'node:https';
 import { tmpdir } from 'node:os';
@@ -38,7 +38,7 @@
 }
 
 describe('TLS for callers', () => {
-  it('serves with its keys, takes new ones while running, and turns away plain HTTP', async () => {
+  it('uses its keys, replaces them while running, and rejects plain HTTP', async () => {
     const fleet = new Fleet({ entry: { callersKeys: await createKeys('first') } });
     const target = await fleet.startTarget();
     putDocuments(fleet.store, { 'service/test': writeService([target.address]) });
@@ -79,7 +79,7 @@
     return { cert: file, ca: file, key: join(directory, 'key.pem'), refresh: 100 };
   }
 
-  it('lets in peers of the same authority who know the secret, and nobody else', async () => {
+  it('accepts only peers with a certificate of the same authority and the right secret', async () => {
     const files = await writeFiles('entry');
     const server = createGrpcTransport(SECRET, files);
     const { address, close } = await server.serve({ host: '127.0.0.1', port: 0 }, PEER_HANDLERS);
