--- a/src/entry/call-handler.ts
+++ b/src/entry/call-handler.ts
@@ -1,4 +1,4 @@
-/** Handles the calls that arrive at one entry, from the request's head to the end of the response. */
+/** Handles the calls that arrive at one entry, from the request's head to the response's end. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { type Clock, type Log, type Metrics, type Random } from '../kernel/index.js';
 import type { Service } from '../config/index.js';
@@ -85,7 +85,7 @@
     return this.#active;
   }
 
-  /** Ends all calls in flight: each gets its outcome, or its connection is cut if an answer began. */
+  /** Ends all calls in flight: each gets its outcome, or is cut if its answer had begun. */
   abortAll(): void {
     for (const controller of this.#abortControllers) controller.abort(STOPPING_REASON);
   }
@@ -199,8 +199,8 @@
   }
 
   /**
-   * Returns the home to relay the call to, or undefined when this entry serves it itself. A home with
-   * waiting calls shares them with the other homes, because its callers may know of no other home yet.
+   * Returns the home to relay the call to, or undefined when this entry serves it itself. A home
+   * with waiting calls shares them with the other homes: its callers may still know only this one.
    */
   #chooseOtherHome({ runtime, relayed }: CallContext): Member | undefined {
     const { isHome, sharesTargets, plan } = runtime.placement;
@@ -250,7 +250,7 @@
     }
   }
 
-  /** Forwards the call; one that may not be repeated first has its idempotency key claimed. */
+  /** Forwards the call; if it may not be repeated, claims its idempotency key first, if any. */
   async #runAtMostOnce(context: CallContext, ruling: Ruling, body: Body): Promise<CallEnd> {
     const { runtime, call } = context;
     if (call.repeatable || call.idempotencyKey === undefined) {
--- a/src/entry/discovery.ts
+++ b/src/entry/discovery.ts
@@ -10,7 +10,7 @@
   readonly address: string;
   readonly domain: string;
   readonly role: 'home' | 'alternate';
-  /** Fraction of the calls to send to this address; 0 for alternates, which are used when no home answers. */
+  /** Fraction of the calls to send here; 0 for alternates, which are for when no home answers. */
   readonly weight: number;
 }
 
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -144,8 +144,8 @@
   }
 
   /**
-   * Starts listening, joins the other entries and begins to follow the configuration. Resolves when a
-   * configuration is known, or after a few seconds without one.
+   * Starts listening, joins the other entries and begins to follow the configuration. Resolves when
+   * a configuration is known, or after a few seconds without one.
    */
   async start(): Promise<void> {
     const { settings, kernel } = this;
@@ -223,9 +223,9 @@
   }
 
   /**
-   * Stops gracefully: withdraws this entry from discovery, waits until cached discovery answers have
-   * expired, closes idle connections, and ends when the last call has ended. Calls still in flight
-   * after `grace` milliseconds are aborted.
+   * Stops gracefully: withdraws this entry from discovery, waits until cached discovery answers
+   * have expired, closes idle connections, and ends when the last call has ended. Calls still in
+   * flight after `grace` milliseconds are aborted.
    */
   async stop(grace = this.settings.limits.stop_grace, signal?: AbortSignal): Promise<void> {
     const clock = this.kernel.find(clockService);
@@ -302,7 +302,7 @@
     };
   }
 
-  /** Schedules one refresh of the service table for all changes that arrive shortly after each other. */
+  /** Schedules one refresh of the service table for all changes within a short delay. */
   #scheduleRefresh(): void {
     if (this.#isRefreshScheduled) return;
     this.#isRefreshScheduled = true;
@@ -340,7 +340,7 @@
     while (!this.follower.isKnown && clock.now() < limit) await clock.sleep(POLL_INTERVAL_MS);
   }
 
-  /** Logs and rethrows: a background task only fails on a violated invariant, which ends the process. */
+  /** Logs and rethrows. A task fails only on a violated invariant; the process must not go on. */
   #failProcess(error: Error): void {
     const text = error.stack ?? error.message;
     this.kernel.find(logService).error('entry.broken', { error: text });
--- a/src/entry/placement.ts
+++ b/src/entry/placement.ts
@@ -21,8 +21,8 @@
 
 /**
  * Chooses the region whose entries are homes: the region of this entry if the service has targets
- * there or in no region at all. Otherwise the first region by name that has both targets and entries;
- * the order makes every entry choose the same one.
+ * there or in no region at all. Otherwise the first region by name that has both targets and
+ * entries; the order makes every entry choose the same one.
  */
 function chooseRegion(service: Service, { ownRegion, vms, candidates }: PlacementInputs): string {
   const roles = new Set(service.pools.map(({ role }) => role).filter((role) => role !== ''));
--- a/src/entry/pool-runtime.ts
+++ b/src/entry/pool-runtime.ts
@@ -45,7 +45,7 @@
   readonly address: Address;
   readonly domain: string;
   readonly leaving: boolean;
-  /** Whether the target appeared while this daemon was running; configured targets count as warm. */
+  /** Whether the target appeared while this daemon ran; configured targets count as warm. */
   readonly isNew: boolean;
 }
 
@@ -99,7 +99,7 @@
     return this.#targets.get(name);
   }
 
-  /** Returns how many connections this entry may open to one target when there are `homes` homes. */
+  /** Returns how many connections this entry may open to one target with `homes` homes in all. */
   countConnections(homes: number): number {
     const share = Math.floor(this.config.connections / (homes + RESERVED_HOME_SHARES));
     assertInvariant(share >= 0, 'a share of connections is never negative');
--- a/src/entry/service-table.ts
+++ b/src/entry/service-table.ts
@@ -65,7 +65,7 @@
     return this.#runtimes.get(name);
   }
 
-  /** Applies a new configuration; services that remain keep their counts, and targets that still fit. */
+  /** Applies a new configuration; remaining services keep their counts and suitable targets. */
   setConfiguration(configuration: Configuration): void {
     this.#configuration = configuration;
     const runtimes = new Map<string, ServiceRuntime>();
--- a/src/proxy/attempt.ts
+++ b/src/proxy/attempt.ts
@@ -33,7 +33,7 @@
   | { readonly kind: 'lost'; readonly reason: UnknownReason; readonly detail: string }
   /** A server error that is not passed on, because the call is retried. */
   | { readonly kind: 'discarded'; readonly status: number }
-  /** Aborted by the entry: another attempt answered, the deadline passed, or the caller went away. */
+  /** Aborted by the entry: another attempt answered, the deadline passed or the caller left. */
   | { readonly kind: 'cancelled'; readonly sent: boolean };
 
 /** Why the call was certainly not run by an attempt. */
@@ -51,7 +51,7 @@
     this.#abortCallbacks.add(abort);
   }
 
-  /** Claims the right to answer and aborts the other attempts; false when another attempt has it. */
+  /** Claims the right to answer and aborts the other attempts; false if another attempt has it. */
   claim(attempt: object, abort: (reason: string) => void): boolean {
     if (this.#owner !== undefined) return this.#owner === attempt;
     this.#owner = attempt;
--- a/src/proxy/forwarder.ts
+++ b/src/proxy/forwarder.ts
@@ -1,9 +1,9 @@
 /**
- * Forwards one call: takes a slot, sends the call to its target, and retries or hedges where allowed.
+ * Forwards one call: takes a slot, sends the call to its target, and retries or hedges if allowed.
  *
- * Two rules hold on every path. A call that may not be repeated is sent again only once each earlier
- * attempt is known not to have run. *Not run* is reported only if that is known of every attempt.
- * {@link SendLedger} asserts both.
+ * Two rules hold on every path. A call that may not be repeated is sent again only once each
+ * earlier attempt is known not to have run. *Not run* is reported only if that is known of every
+ * attempt. {@link SendLedger} asserts both.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Dispatcher } from 'undici';
--- a/src/proxy/head-check.ts
+++ b/src/proxy/head-check.ts
@@ -1,4 +1,4 @@
-/** Validation of a request's head, before anything else reads it: protects against hostile input. */
+/** Validates a request's head before anything else reads it, to protect against hostile input. */
 import type { IncomingMessage } from 'node:http';
 import { listPairs } from './headers.js';
 
--- a/src/proxy/headers.ts
+++ b/src/proxy/headers.ts
@@ -1,4 +1,4 @@
-/** Headers of calls and answers: Orchidbeam's own, hop-by-hop ones, and those that are forwarded. */
+/** Headers of calls and answers: Orchidbeam's own, hop-by-hop ones, and the forwarded ones. */
 import { OUTCOME_HEADER } from './outcome.js';
 import type { TargetReport, ReportedState } from '../balance/index.js';
 
@@ -50,7 +50,7 @@
 
 const NO_TOKENS: ReadonlySet<string> = new Set();
 
-/** Lists the names that `Connection` headers make hop-by-hop; fast for the usual values of one name. */
+/** Lists the names that `Connection` headers make hop-by-hop; fast for the usual single names. */
 function listConnectionTokens(flat: FlatHeaders): ReadonlySet<string> {
   const value = findHeader(flat, 'connection');
   if (value === undefined || HOP_BY_HOP.has(value.toLowerCase()) || value === 'close') {
@@ -85,7 +85,7 @@
   readonly isRetry: boolean;
 }
 
-/** Builds the headers of a call for a target: the caller's forwarded headers and the entry's own. */
+/** Builds the headers of a call for a target: those forwarded from the caller and the entry's. */
 export function buildTargetHeaders(flat: FlatHeaders, values: TargetHeaderValues): string[] {
   const headers = filterHeaders(flat, (name) => REMOVED_FROM_REQUESTS.has(name));
   headers.push(CALL_HEADER, values.callId);
@@ -99,7 +99,7 @@
   return headers;
 }
 
-/** Builds the headers of an answer for the caller; `keepsOutcomeHeader` keeps the outcome header. */
+/** Builds the headers of an answer; `keepsOutcomeHeader` lets the outcome header pass. */
 export function buildCallerHeaders(
   flat: FlatHeaders,
   callId: string,
--- a/src/proxy/http-listener.ts
+++ b/src/proxy/http-listener.ts
@@ -130,7 +130,7 @@
     if (findOpenResponses(socket).some((response) => !response.req.complete)) socket.destroy();
   });
 
-  // `network` listens in place of this server, but node:http checks for slow headers only after `listening`.
+  // `network` listens in place of this server; node:http checks for slow headers after `listening`.
   server.emit('listening');
   const listener: Listener = await options.network.listen({
     address: options.address,
--- a/src/proxy/index.ts
+++ b/src/proxy/index.ts
@@ -1,4 +1,4 @@
-/** HTTP proxying: listeners, request validation, call parsing, attempts at targets, and outcomes. */
+/** HTTP proxying: listeners, request validation, call parsing, attempts at targets, outcomes. */
 export * from './outcome.js';
 export * from './headers.js';
 export * from './call.js';
--- a/src/proxy/ledger.ts
+++ b/src/proxy/ledger.ts
@@ -8,7 +8,7 @@
   /** @param repeatable whether the call may be repeated */
   constructor(private readonly repeatable: boolean) {}
 
-  /** Records that the first byte of an attempt may have been written. Asserts that it may be sent. */
+  /** Records that an attempt's first byte may have been written, and asserts that it may be sent. */
   recordSent(): void {
     this.#possiblyRun += 1;
     assertInvariant(
--- a/src/proxy/outcome.ts
+++ b/src/proxy/outcome.ts
@@ -1,4 +1,4 @@
-/** Outcomes reported to a caller in place of an answer: the call was not run, or it may have run. */
+/** Outcomes reported to a caller in place of an answer: the call was not run, or may have run. */
 import type { ServerResponse } from 'node:http';
 
 /** Response header that carries the outcome. A response without it is the target's answer. */
