--- a/src/proxy/headers.ts
+++ b/src/proxy/headers.ts
@@ -50,7 +50,10 @@
 
 const NO_TOKENS: ReadonlySet<string> = new Set();
 
-/** Lists the names that `Connection` headers make hop-by-hop; fast for the usual single names. */
+/**
+ * Lists the names that `Connection` headers make hop-by-hop. Most messages name only headers that
+ * are hop-by-hop anyway, and skip the parsing.
+ */
 function listConnectionTokens(flat: FlatHeaders): ReadonlySet<string> {
   const value = findHeader(flat, 'connection');
   if (value === undefined || HOP_BY_HOP.has(value.toLowerCase()) || value === 'close') {
--- a/src/proxy/ledger.ts
+++ b/src/proxy/ledger.ts
@@ -8,7 +8,7 @@
   /** @param repeatable whether the call may be repeated */
   constructor(private readonly repeatable: boolean) {}
 
-  /** Records that an attempt's first byte may have been written, and asserts that it may be sent. */
+  /** Records that an attempt's first byte may have been written; asserts that this is allowed. */
   recordSent(): void {
     this.#possiblyRun += 1;
     assertInvariant(
