--- a/src/proxy/head-check.ts
+++ b/src/proxy/head-check.ts
@@ -34,28 +34,26 @@
   for (const [name, value] of listPairs(request.rawHeaders)) {
     const lower = name.toLowerCase();
     count += 1;
-    if (count > MAX_HEADER_FIELDS)
-      return refuse(431, `more than ${MAX_HEADER_FIELDS} header fields`);
-    if (!TOKEN_PATTERN.test(name)) return refuse(400, 'a header name is not a valid token');
+    if (count > MAX_HEADER_FIELDS) return refuse(431, `more than ${MAX_HEADER_FIELDS} headers`);
+    if (!TOKEN_PATTERN.test(name)) return refuse(400, 'a header name is not a token');
     if (SINGLE_VALUE_HEADERS.has(lower) && seen.has(lower))
-      return refuse(400, `header ${lower} occurs more than once`);
-    if (value.includes('\n') || value.includes('\r'))
-      return refuse(400, 'a header value is folded or contains a line break');
+      return refuse(400, `header ${lower} stands twice`);
+    if (value.includes('\n') || value.includes('\r')) return refuse(400, 'a folded header');
     seen.add(lower);
   }
   if (seen.has('content-length') && seen.has('transfer-encoding')) {
-    return refuse(400, 'both content-length and transfer-encoding are present');
+    return refuse(400, 'both content-length and transfer-encoding');
   }
   return undefined;
 }
 
 function checkRequestTarget(target: string): HeadRefusal | undefined {
   if (target.length > MAX_TARGET_BYTES)
-    return refuse(414, `the request target is longer than ${MAX_TARGET_BYTES} bytes`);
+    return refuse(414, `a target longer than ${MAX_TARGET_BYTES} bytes`);
   if (target === '*') return undefined;
-  if (!target.startsWith('/')) return refuse(400, 'the request target is not a path');
+  if (!target.startsWith('/')) return refuse(400, 'a target that is not a path');
   const [path = ''] = target.split('?', 1);
-  if (DOT_SEGMENT_PATTERN.test(path)) return refuse(400, 'the path contains dot segments');
+  if (DOT_SEGMENT_PATTERN.test(path)) return refuse(400, 'a path with dot segments');
   return undefined;
 }
 
@@ -64,15 +62,14 @@
   const refusal = checkFields(request);
   if (refusal !== undefined) return refusal;
   const { host } = request.headers;
-  if (host === undefined || !HOST_PATTERN.test(host))
-    return refuse(400, 'header host is missing or invalid');
+  if (host === undefined || !HOST_PATTERN.test(host)) return refuse(400, 'no valid Host');
   const coding = request.headers['transfer-encoding'];
   if (coding !== undefined && coding.toLowerCase() !== 'chunked') {
-    return refuse(501, 'the transfer coding is not chunked');
+    return refuse(501, 'a transfer coding other than chunked');
   }
   const expectation = request.headers.expect;
   if (expectation !== undefined && expectation.toLowerCase() !== '100-continue') {
-    return refuse(417, 'the expectation is not 100-continue');
+    return refuse(417, 'an expectation other than 100-continue');
   }
   return checkRequestTarget(request.url ?? '');
 }
