--- a/src/entry/clients.ts
+++ b/src/entry/clients.ts
@@ -1,39 +1,42 @@
-/** HTTP connections to targets and to other entries, one pool for each address. */
+/** HTTP clients for targets and for other entries: one connection pool per address. */
 import { type Dispatcher, Pool } from 'undici';
 import { type Address, type Network, formatAddress } from '../kernel/index.js';
 import { createConnector } from '../platform/index.js';
 
-const CONNECT_TIMEOUT = 1000;
-const IDLE_TIMEOUT = 4000;
+const CONNECT_TIMEOUT_MS = 1000;
+const IDLE_TIMEOUT_MS = 4000;
 
-/** Opens and closes the connections of this daemon. */
+/** The connection pools of this daemon, by address. */
 export class Clients {
   readonly #pools = new Map<string, Pool>();
 
-  /** Connections opened since the start. */
-  opened = 0;
+  /** Number of connections opened since the start. */
+  connectionsOpened = 0;
 
   constructor(private readonly network: Network) {}
 
-  /** Returns the connections to an address, at most `connections` at once. */
+  /**
+   * Returns the connection pool of an address. `connections` is the maximum of open connections; it
+   * applies when the pool is created.
+   */
   find(address: Address, connections: number): Dispatcher {
     const name = formatAddress(address);
-    const known = this.#pools.get(name);
-    if (known !== undefined) return known;
+    const existing = this.#pools.get(name);
+    if (existing !== undefined) return existing;
     const pool = new Pool(`http://${name}`, {
-      connect: createConnector(this.network, address, CONNECT_TIMEOUT, () => {
-        this.opened += 1;
+      connect: createConnector(this.network, address, CONNECT_TIMEOUT_MS, () => {
+        this.connectionsOpened += 1;
       }),
       connections,
       pipelining: 1,
-      keepAliveTimeout: IDLE_TIMEOUT,
-      keepAliveMaxTimeout: IDLE_TIMEOUT,
+      keepAliveTimeout: IDLE_TIMEOUT_MS,
+      keepAliveMaxTimeout: IDLE_TIMEOUT_MS,
     });
     this.#pools.set(name, pool);
     return pool;
   }
 
-  /** Closes the connections to an address once their calls have ended. */
+  /** Removes the pool of an address; its connections close when their calls have ended. */
   release(address: Address): void {
     const name = formatAddress(address);
     this.#pools
@@ -43,7 +46,7 @@
     this.#pools.delete(name);
   }
 
-  /** Closes all connections at once. */
+  /** Closes all connections immediately, including those with calls in flight. */
   destroy(): void {
     for (const pool of this.#pools.values()) pool.destroy().catch(() => undefined);
     this.#pools.clear();
--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -1,4 +1,4 @@
-/** The entry daemon: puts the parts together, starts them, and stops them in a planned way. */
+/** The entry daemon: wires up its components, starts them, and stops them gracefully. */
 import {
   type Address,
   type Kernel,
@@ -36,12 +36,12 @@
 } from '../spread/index.js';
 import { CallHandler } from './call-handler.js';
 import { Clients } from './clients.js';
-import { type Front, startFront } from './front.js';
+import { type EntryListeners, startListeners } from './listeners.js';
 import { Prober } from './prober.js';
 import { ServiceTable } from './service-table.js';
 import { type EntryStatus, describeService } from './status.js';
 
-/** What can be set besides the settings file. */
+/** Options that are not part of the settings file. */
 export interface EntryOptions {
   readonly strategy?: Strategy;
   readonly membershipTimes?: MembershipTimes;
@@ -49,19 +49,19 @@
   readonly callersKeys?: KeyPair;
 }
 
-const STOP_CHECK = 20;
-const REFRESH_DELAY = 20;
-const STOP_PUSHES = 50;
-const READY_WAIT = 3000;
+const POLL_INTERVAL_MS = 20;
+const REFRESH_DELAY_MS = 20;
+const FINAL_FLUSH_MS = 50;
+const MAX_READY_WAIT_MS = 3000;
 const ENTRY_ROLE = 'entry';
 
-/** Processor time of this process since its start, in milliseconds. */
-function readCpu(): number {
+/** Returns the processor time of this process since its start, in milliseconds. */
+function readCpuTime(): number {
   const { user, system } = process.cpuUsage();
   return (user + system) / 1000;
 }
 
-/** One entry daemon. It runs inside any kernel, also several in one process. */
+/** An entry daemon. All its state hangs off its kernel, so several can run in one process. */
 export class Entry {
   readonly #platform: MeteredPlatform;
 
@@ -71,16 +71,16 @@
 
   readonly #claims: Claims;
 
-  readonly #running = new AbortController();
+  readonly #stopController = new AbortController();
 
-  /** Reads and writes the configuration; the administration interface uses it too. */
+  /** Reads and writes the stored configuration; shared with the administration interface. */
   readonly store: ConfigStore;
 
   #membership: Membership | undefined;
 
   #follower: ConfigFollower | undefined;
 
-  #vms: VmsFollower | undefined;
+  #vmsFollower: VmsFollower | undefined;
 
   #table: ServiceTable | undefined;
 
@@ -88,11 +88,11 @@
 
   #handler: CallHandler | undefined;
 
-  #front: Front | undefined;
+  #listeners: EntryListeners | undefined;
 
   #peers: PeerServer | undefined;
 
-  #refreshing = false;
+  #isRefreshScheduled = false;
 
   readonly #loads = new HomeLoadTable();
 
@@ -110,7 +110,7 @@
     );
     this.store = new ConfigStore(this.#platform, clock, random);
     this.#clients = new Clients(kernel.find(networkService));
-    // Postings must not starve the control calls, nor the other way round.
+    // Claims have a rate limit of their own: neither claims nor control calls can starve the other.
     this.#claimPlatform = createMeteredPlatform(
       kernel.find(platformService),
       settings.platform.claims_per_second,
@@ -119,29 +119,34 @@
     this.#claims = new Claims(this.#claimPlatform, clock, random);
   }
 
-  /** The services at work; only after {@link start}. */
+  /** The services that this entry runs; available after {@link start}. */
   get table(): ServiceTable {
     assertInvariant(this.#table !== undefined, 'the entry was started');
     return this.#table;
   }
 
+  /** Keeps the configuration current; available after {@link start}. */
   get follower(): ConfigFollower {
     assertInvariant(this.#follower !== undefined, 'the entry was started');
     return this.#follower;
   }
 
+  /** The other entries as seen from this one; available after {@link start}. */
   get membership(): Membership {
     assertInvariant(this.#membership !== undefined, 'the entry was started');
     return this.#membership;
   }
 
-  /** Where callers connect; only after {@link start}. */
+  /** Address that callers connect to; available after {@link start}. */
   get callersAddress(): Address {
-    assertInvariant(this.#front !== undefined, 'the entry was started');
-    return this.#front.callers.address;
+    assertInvariant(this.#listeners !== undefined, 'the entry was started');
+    return this.#listeners.callers.address;
   }
 
-  /** Starts listening, joins the other entries, and begins to follow the configuration. */
+  /**
+   * Starts listening, joins the other entries and begins to follow the configuration. Resolves when
+   * a configuration is known, or after a few seconds without one.
+   */
   async start(): Promise<void> {
     const { settings, kernel } = this;
     const clock = kernel.find(clockService);
@@ -150,13 +155,13 @@
     const transport = kernel.find(peerTransportService);
     const shared = { clock, random, log, transport };
 
-    this.#peers = await transport.serve(settings.entry.peers, this.#createHandlers());
-    this.#front = await startFront(kernel, settings, {
+    this.#peers = await transport.serve(settings.entry.peers, this.#createPeerHandlers());
+    this.#listeners = await startListeners(kernel, settings, {
       serveCall: (request, response, relayed) => this.#handler?.serve(request, response, relayed),
       findService: (name) => this.#table?.findByName(name),
       keys: this.options.callersKeys,
     });
-    const { callers, relay } = this.#front;
+    const { callers, relay } = this.#listeners;
 
     const listCandidates = () => this.membership.listCandidates();
     const selfId = () => this.membership.self.id;
@@ -172,18 +177,18 @@
       },
       times: this.options.membershipTimes ?? DEFAULT_MEMBERSHIP_TIMES,
       readKnowledge: () => this.#readKnowledge(),
-      onKnowledge: (from, knowledge) => this.#hearKnowledge(from, knowledge),
+      onKnowledge: (from, knowledge) => this.#receiveKnowledge(from, knowledge),
       listLoads: () => this.#listLoads(),
-      onLoads: (loads) => this.#hearLoads(loads),
-      onChange: () => this.#refreshSoon(),
-      onTargetLeaving: (target) => this.#table?.noteLeaving(target),
+      onLoads: (loads) => this.#receiveLoads(loads),
+      onChange: () => this.#scheduleRefresh(),
+      onTargetLeaving: (target) => this.#table?.recordLeavingTarget(target),
       listSeeds: () => this.#listSeeds(),
     });
     this.#table = new ServiceTable({
       ...{ strategy: this.options.strategy ?? 'fresh', clock, random },
       ...{ domain: settings.entry.failure_domain, selfId, listCandidates },
-      onDropped: (address) => this.#clients.release(address),
-      countNeeded: (service) => this.#loads.countHomes(service, clock.now()),
+      onTargetRemoved: (address) => this.#clients.release(address),
+      countNeededHomes: (service) => this.#loads.countHomes(service, clock.now()),
     });
     this.#follower = new ConfigFollower({
       ...shared,
@@ -194,7 +199,7 @@
         this.membership.push();
       },
     });
-    this.#vms = new VmsFollower({
+    this.#vmsFollower = new VmsFollower({
       ...shared,
       ...{ platform: this.#platform, listCandidates, selfId },
       onChange: (vms) => {
@@ -202,12 +207,12 @@
         this.membership.push();
       },
     });
-    this.#handler = this.#createHandler();
+    this.#handler = this.#createCallHandler();
     this.#prober = new Prober({
       ...{ table: this.#table, clients: this.#clients, platform: this.#platform },
       ...{ clock, log, metrics: kernel.find(metricsService) },
     });
-    await this.#begin();
+    await this.#startTasks();
     log.info('entry.started', {
       ...{ name: settings.entry.name, callers: formatAddress(callers.address) },
       ...{
@@ -218,49 +223,53 @@
   }
 
   /**
-   * Stops without cutting a call: leaves the answers to callers, waits until old answers have run
-   * out, closes idle connections, and ends when the last call has ended or `grace` is over.
+   * Stops gracefully: withdraws this entry from discovery, waits until cached discovery answers
+   * have expired, closes idle connections, and ends when the last call has ended. Calls still in
+   * flight after `grace` milliseconds are aborted.
    */
   async stop(grace = this.settings.limits.stop_grace, signal?: AbortSignal): Promise<void> {
     const clock = this.kernel.find(clockService);
     const log = this.kernel.find(logService);
     const limit = clock.now() + grace;
-    log.info('entry.stopping', { name: this.settings.entry.name, active: this.#active() });
+    log.info('entry.stopping', {
+      name: this.settings.entry.name,
+      active: this.#countActiveCalls(),
+    });
     await this.membership.announceStopping();
     await clock.sleep(Math.min(this.settings.limits.answer_ttl, grace), signal);
-    await this.#front?.callers.drain();
+    await this.#listeners?.callers.drain();
     await this.#waitIdle(limit, signal);
-    // Peers hand calls over until they have heard that this entry stops; by now all have.
-    await this.#front?.relay.drain();
+    // Peers relay calls here until they learn that this entry is stopping; by now all of them have.
+    await this.#listeners?.relay.drain();
     await this.#waitIdle(limit, signal);
-    const left = this.#active();
+    const abortedCalls = this.#countActiveCalls();
     this.#handler?.abortAll();
-    await clock.sleep(STOP_PUSHES);
+    await clock.sleep(FINAL_FLUSH_MS);
     await this.membership.announceGone();
     this.destroy();
-    log.info('entry.stopped', { name: this.settings.entry.name, ended: left });
+    log.info('entry.stopped', { name: this.settings.entry.name, ended: abortedCalls });
   }
 
-  /** Ends at once, as a crash would. */
+  /** Closes everything immediately, like a crash: calls are cut and peers are not notified. */
   destroy(): void {
-    this.#running.abort();
-    this.#front?.callers.destroy();
-    this.#front?.relay.destroy();
+    this.#stopController.abort();
+    this.#listeners?.callers.destroy();
+    this.#listeners?.relay.destroy();
     this.#peers?.close();
     this.#clients.destroy();
   }
 
-  /** Replaces the certificate for callers without a restart. */
+  /** Replaces the certificate and key of the callers' listener without a restart. */
   replaceCallersKeys(keys: KeyPair): void {
-    this.#front?.callers.replaceKeys(keys);
+    this.#listeners?.callers.replaceKeys(keys);
   }
 
-  /** Takes a manifest that the administration interface accepted at time `at`. */
+  /** Adopts a manifest that the administration interface accepted at time `at`. */
   takeManifest(manifest: Manifest, at: number): Promise<void> {
     return this.follower.adoptManifest(manifest, at);
   }
 
-  /** Describes this entry. */
+  /** Returns the status of this entry; available after {@link start}. */
   describe(): EntryStatus {
     const now = this.kernel.find(clockService).now();
     const { proofAge, configuration, fault } = this.follower;
@@ -271,14 +280,14 @@
       revision: configuration.revision,
       proofAge: Number.isFinite(proofAge) ? Math.round(proofAge) : null,
       configFault: fault,
-      active: this.#active(),
-      connections: this.#front?.callers.countConnections() ?? 0,
-      connectionsOpened: this.#clients.opened,
+      active: this.#countActiveCalls(),
+      connections: this.#listeners?.callers.countConnections() ?? 0,
+      connectionsOpened: this.#clients.connectionsOpened,
       memory: process.memoryUsage.rss(),
       members: this.membership.listAll(),
       platform: this.#platform.counts(),
       claimCalls: this.#claimPlatform.counts(),
-      cpu: readCpu(),
+      cpu: readCpuTime(),
       traffic: this.kernel.find(peerTransportService).readTraffic(),
       claims: { ...this.#claims.counts },
       services: this.table
@@ -293,52 +302,52 @@
     };
   }
 
-  /** Places the services again once for all the changes of a moment. */
-  #refreshSoon(): void {
-    if (this.#refreshing) return;
-    this.#refreshing = true;
-    this.kernel.find(clockService).schedule(REFRESH_DELAY, () => {
-      this.#refreshing = false;
+  /** Schedules one refresh of the service table for all changes within a short delay. */
+  #scheduleRefresh(): void {
+    if (this.#isRefreshScheduled) return;
+    this.#isRefreshScheduled = true;
+    this.kernel.find(clockService).schedule(REFRESH_DELAY_MS, () => {
+      this.#isRefreshScheduled = false;
       this.#table?.refresh();
     });
   }
 
-  /** Waits until no call is in flight, or until `limit` on the clock, or until the signal aborts. */
+  /** Waits until no call is in flight, the clock reaches `limit`, or the signal aborts. */
   async #waitIdle(limit: number, signal: AbortSignal | undefined): Promise<void> {
     const clock = this.kernel.find(clockService);
-    while (this.#active() > 0 && clock.now() < limit && signal?.aborted !== true) {
-      await clock.sleep(STOP_CHECK, signal);
+    while (this.#countActiveCalls() > 0 && clock.now() < limit && signal?.aborted !== true) {
+      await clock.sleep(POLL_INTERVAL_MS, signal);
     }
   }
 
-  #active(): number {
-    return this.#handler?.active ?? 0;
+  #countActiveCalls(): number {
+    return this.#handler?.activeCalls ?? 0;
   }
 
-  async #begin(): Promise<void> {
-    const { signal } = this.#running;
+  async #startTasks(): Promise<void> {
+    const { signal } = this.#stopController;
     const clock = this.kernel.find(clockService);
-    await this.#vms?.readPlatform();
+    await this.#vmsFollower?.readPlatform();
     await this.membership.join();
     const tasks = [
       this.membership.run(signal),
       this.follower.run(signal),
-      this.#vms?.run(signal),
+      this.#vmsFollower?.run(signal),
       this.#prober?.run(signal),
     ];
-    for (const task of tasks) task?.catch((error: Error) => this.#fail(error));
-    const limit = clock.now() + READY_WAIT;
-    while (!this.follower.hasConfiguration && clock.now() < limit) await clock.sleep(STOP_CHECK);
+    for (const task of tasks) task?.catch((error: Error) => this.#failProcess(error));
+    const limit = clock.now() + MAX_READY_WAIT_MS;
+    while (!this.follower.hasConfiguration && clock.now() < limit) await clock.sleep(POLL_INTERVAL_MS);
   }
 
-  /** A task that ends with an error met a broken invariant: the process must not go on. */
-  #fail(error: Error): void {
+  /** Logs and rethrows. A task fails only on a violated invariant; the process must not go on. */
+  #failProcess(error: Error): void {
     const text = error.stack ?? error.message;
     this.kernel.find(logService).error('entry.broken', { error: text });
     throw error;
   }
 
-  #createHandler(): CallHandler {
+  #createCallHandler(): CallHandler {
     const { settings, kernel } = this;
     return new CallHandler({
       ...{ table: this.table, clients: this.#clients, claims: this.#claims },
@@ -349,17 +358,17 @@
       selfId: () => this.membership.self.id,
       isConfigured: () => this.follower.hasConfiguration,
       readProofAge: () => this.follower.proofAge,
-      onLeaving: (target) => this.membership.announceTargetLeaving(target),
+      onTargetLeaving: (target) => this.membership.announceTargetLeaving(target),
     });
   }
 
-  #createHandlers(): PeerHandlers {
+  #createPeerHandlers(): PeerHandlers {
     return {
       exchange: async (request): Promise<ExchangeMessage> =>
         this.membership.answerExchange(request),
       probe: (peers) => this.membership.probe(peers),
       fetchConfig: async (known) => this.follower.answerFetch(known),
-      fetchVms: async (known) => (this.#vms as VmsFollower).answerFetch(known),
+      fetchVms: async (known) => (this.#vmsFollower as VmsFollower).answerFetch(known),
     };
   }
 
@@ -370,18 +379,18 @@
       this.#loads.add({ ...busy, entry, age: 0 }, now);
     }
     const loads = this.#loads.list(now);
-    if (loads.length > 0 || this.#loads.hasMultipleHomes()) this.#refreshSoon();
+    if (loads.length > 0 || this.#loads.hasMultipleHomes()) this.#scheduleRefresh();
     return loads;
   }
 
-  #hearLoads(loads: readonly LoadMessage[]): void {
+  #receiveLoads(loads: readonly LoadMessage[]): void {
     const now = this.kernel.find(clockService).now();
     for (const load of loads) this.#loads.add(load, now);
-    this.#refreshSoon();
+    this.#scheduleRefresh();
   }
 
   #readKnowledge(): Knowledge {
-    const source = this.#vms?.source;
+    const source = this.#vmsFollower?.source;
     return {
       revision: this.#follower?.configuration.revision ?? 0,
       proofAge: this.#follower?.proofAge ?? Infinity,
@@ -390,13 +399,13 @@
     };
   }
 
-  #hearKnowledge(from: Member, knowledge: Knowledge): void {
+  #receiveKnowledge(from: Member, knowledge: Knowledge): void {
     this.#follower?.receiveKnowledge(from, knowledge.revision, knowledge.proofAge);
-    this.#vms?.receiveKnowledge(from, knowledge.vmsReader, knowledge.vmsCount);
+    this.#vmsFollower?.receiveKnowledge(from, knowledge.vmsReader, knowledge.vmsCount);
   }
 
   #listSeeds(): readonly string[] {
-    const listed = (this.#vms?.vms ?? [])
+    const listed = (this.#vmsFollower?.vms ?? [])
       .filter(({ role, state }) => role === ENTRY_ROLE && state === 'live')
       .map(({ address }) => formatAddress(address));
     const configured = this.settings.entry.seeds.map(formatAddress);
--- a/src/entry/front.ts
+++ b/src/entry/listeners.ts
@@ -1,4 +1,4 @@
-/** The two HTTP listeners of an entry: for callers, and for calls handed over by other entries. */
+/** The two HTTP listeners of an entry: one for callers, one for calls relayed by other entries. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import {
   type Kernel,
@@ -13,18 +13,20 @@
 import { DISCOVERY_PATH, answerDiscovery } from './discovery.js';
 import type { ServiceRuntime } from './service-runtime.js';
 
-/** Who serves what arrives. */
-export interface FrontHandlers {
+/** Handlers behind the listeners. */
+export interface ListenerHandlers {
+  /** Handles a call; `relayed` says that another entry sent it. */
   readonly serveCall: (
     request: IncomingMessage,
     response: ServerResponse,
     relayed: boolean,
   ) => void;
+  /** Finds a service for a discovery request. */
   readonly findService: (name: string) => ServiceRuntime | undefined;
 }
 
 /** The running listeners. */
-export interface Front {
+export interface EntryListeners {
   readonly callers: HttpListener;
   readonly relay: HttpListener;
 }
@@ -34,12 +36,12 @@
 const NOT_FOUND = 404;
 const UNAVAILABLE = 503;
 
-/** Starts both listeners. */
-export async function startFront(
+/** Starts both listeners; `keys` makes the callers' listener use TLS. */
+export async function startListeners(
   kernel: Kernel,
   settings: EntrySettings,
-  { serveCall, findService, keys }: FrontHandlers & { readonly keys?: KeyPair },
-): Promise<Front> {
+  { serveCall, findService, keys }: ListenerHandlers & { readonly keys?: KeyPair },
+): Promise<EntryListeners> {
   const { limits, security, entry } = settings;
   const log = kernel.find(logService);
   const metrics = kernel.find(metricsService);
@@ -58,8 +60,8 @@
     const runtime = findService(name);
     const answer = runtime && answerDiscovery(runtime, limits.answer_ttl);
     const found = answer !== undefined && answer.entries.length > 0;
-    const missing = answer === undefined ? NOT_FOUND : UNAVAILABLE;
-    const status = found ? OK : missing;
+    const errorStatus = answer === undefined ? NOT_FOUND : UNAVAILABLE;
+    const status = found ? OK : errorStatus;
     const body = JSON.stringify(answer ?? { status, title: `No service "${name}"` });
     response.writeHead(status, {
       'content-type': answer === undefined ? 'application/problem+json' : 'application/json',
@@ -75,8 +77,8 @@
   }
 
   function serveRelay(request: IncomingMessage, response: ServerResponse): void {
-    const given = String(request.headers[RELAY_HEADER] ?? '');
-    if (matchesSecret(given, security.peer_secret)) serveCall(request, response, true);
+    const secret = String(request.headers[RELAY_HEADER] ?? '');
+    if (matchesSecret(secret, security.peer_secret)) serveCall(request, response, true);
     else response.writeHead(FORBIDDEN).end();
   }
 
--- a/src/entry/prober.ts
+++ b/src/entry/prober.ts
@@ -1,4 +1,4 @@
-/** Probes: the last resort, for ejected targets that no repeatable call can try. */
+/** Health probes for ejected targets, needed when no repeatable call arrives to try them with. */
 import type { Clock, Log, Metrics } from '../kernel/index.js';
 import type { Target } from '../balance/index.js';
 import { MeasuringGrant, buildGrantKey } from '../measure/index.js';
@@ -7,7 +7,7 @@
 import type { PoolRuntime } from './pool-runtime.js';
 import type { ServiceTable } from './service-table.js';
 
-/** What the prober is made from. */
+/** Dependencies of a {@link Prober}. */
 export interface ProberOptions {
   readonly table: ServiceTable;
   readonly clients: Clients;
@@ -17,10 +17,10 @@
   readonly metrics: Metrics;
 }
 
-const PERIOD = 1000;
-const PROBE_TIMEOUT = 1000;
-const PROBE_CONNECTIONS = 2;
-const HEALTHY_BELOW = 400;
+const PROBE_INTERVAL_MS = 1000;
+const PROBE_TIMEOUT_MS = 1000;
+const MAX_PROBE_CONNECTIONS = 2;
+const MIN_UNHEALTHY_STATUS = 400;
 
 /** Probes targets within the measuring budget of each pool. */
 export class Prober {
@@ -28,15 +28,15 @@
 
   constructor(private readonly options: ProberOptions) {}
 
-  /** Target milliseconds spent by this entry on probes of a pool. */
+  /** Returns the target time that this entry has spent on probes of a pool, in milliseconds. */
   readSpent(service: string, pool: string): number {
     return this.#grants.get(buildGrantKey(service, pool))?.spent ?? 0;
   }
 
-  /** Probes until the signal aborts. */
+  /** Probes targets on trial periodically until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.options.clock.sleep(PERIOD, signal);
+      await this.options.clock.sleep(PROBE_INTERVAL_MS, signal);
       if (signal.aborted) return;
       for (const runtime of this.options.table.list()) {
         if (!runtime.placement.isHome) continue;
@@ -61,8 +61,8 @@
   }
 
   #findGrant(key: string, budget: number): MeasuringGrant {
-    const known = this.#grants.get(key);
-    if (known !== undefined) return known;
+    const existing = this.#grants.get(key);
+    if (existing !== undefined) return existing;
     const { platform, clock } = this.options;
     const grant = new MeasuringGrant(key, budget, platform, clock);
     this.#grants.set(key, grant);
@@ -70,13 +70,13 @@
   }
 
   async #probe(target: Target, path: string): Promise<boolean> {
-    const client = this.options.clients.find(target.address, PROBE_CONNECTIONS);
+    const client = this.options.clients.find(target.address, MAX_PROBE_CONNECTIONS);
     try {
       const { statusCode, body } = await client.request({
-        ...{ method: 'GET', path, signal: AbortSignal.timeout(PROBE_TIMEOUT) },
+        ...{ method: 'GET', path, signal: AbortSignal.timeout(PROBE_TIMEOUT_MS) },
       });
       await body.dump();
-      return statusCode < HEALTHY_BELOW;
+      return statusCode < MIN_UNHEALTHY_STATUS;
     } catch {
       return false;
     }
--- a/src/entry/relay.ts
+++ b/src/entry/relay.ts
@@ -1,4 +1,4 @@
-/** Hands a call over from an entry that is not its home to one that is. */
+/** Relays a call from the entry that received it to a home of its service. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { type Clock, parseAddress } from '../kernel/index.js';
 import type { Member } from '../peer/index.js';
@@ -13,34 +13,41 @@
   RELAY_HEADER,
   buildTargetHeaders,
   createUnknown,
-  inviteBody,
+  sendContinue,
   startAttempt,
 } from '../proxy/index.js';
 import type { Clients } from './clients.js';
 
-/** A call to hand over. */
+/** A call to relay, with its request and response. */
 export interface RelayedCall {
   readonly call: Call;
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
+  /** Aborts when the caller goes away or the daemon ends the call. */
   readonly signal: AbortSignal;
 }
 
-/** What handing over needs. */
+/** Dependencies of {@link relayCall}. */
 export interface RelayContext {
   readonly clients: Clients;
   readonly clock: Clock;
+  /** Secret that proves to the home that an entry sent the call. */
   readonly secret: string;
 }
 
-const RELAY_CONNECTIONS = 256;
+const MAX_RELAY_CONNECTIONS = 256;
 
-/** The home ends the call at its deadline and says how; this entry waits a little longer. */
-const GRACE = 50;
+/** Extra wait after the deadline, at which the home ends the call and reports its outcome. */
+const DEADLINE_GRACE_MS = 50;
 
-function buildHeaders({ call, request }: RelayedCall, left: number, secret: string): string[] {
+function buildHeaders({ call, request }: RelayedCall, timeLeft: number, secret: string): string[] {
   const headers = buildTargetHeaders(request.rawHeaders, {
-    ...{ call: call.id, left, callerAddress: call.callerAddress, isRetry: call.isRetry },
+    ...{
+      callId: call.id,
+      timeLeft,
+      callerAddress: call.callerAddress,
+      isRetry: call.isRetry,
+    },
     forwardedFor: request.headers['x-forwarded-for'] as string | undefined,
   });
   headers.push(RELAY_HEADER, secret);
@@ -64,7 +71,10 @@
   return result;
 }
 
-/** Hands a call over; `not-reached` when this entry may still serve it itself. */
+/**
+ * Relays a call to a home. Returns `not-reached` when this entry may still serve it itself: nothing
+ * was sent, or the call may be repeated and has no body.
+ */
 export async function relayCall(
   relayed: RelayedCall,
   home: Member,
@@ -74,20 +84,20 @@
   if (address === undefined) return 'not-reached';
   const { call, request, response, signal } = relayed;
   const deadline = call.receivedAt + call.timeAllowed;
-  const body: Body = call.bytes === 0 ? { kind: 'none' } : { kind: 'stream', request };
-  if (body.kind === 'stream') inviteBody(request, response);
+  const body: Body = call.bodyLength === 0 ? { kind: 'none' } : { kind: 'stream', request };
+  if (body.kind === 'stream') sendContinue(request, response);
   let sent = false;
   const attempt = startAttempt({
-    ...{ client: clients.find(address, RELAY_CONNECTIONS), call, body, response },
+    ...{ client: clients.find(address, MAX_RELAY_CONNECTIONS), call, body, response },
     headers: buildHeaders(relayed, deadline - clock.now(), secret),
-    ...{ gate: new AnswerGate(), keepsOutcome: true, discards: () => false },
-    isTimely: () => clock.now() < deadline,
+    ...{ gate: new AnswerGate(), keepsOutcomeHeader: true, isDiscarded: () => false },
+    isBeforeDeadline: () => clock.now() < deadline,
     onSent: () => {
       sent = true;
     },
     onNotRun: () => undefined,
   });
-  const limit = deadline - clock.now() + GRACE;
+  const limit = deadline - clock.now() + DEADLINE_GRACE_MS;
   const result = await waitForEnd(attempt, relayed, { clock, limit });
   if (result.kind === 'relayed') {
     return { kind: 'answered', status: result.status, target: home.relay };
@@ -97,6 +107,6 @@
   const mayRepeat = call.repeatable && body.kind === 'none' && clock.now() < deadline;
   if (!sent || mayRepeat) return 'not-reached';
   const reason = result.kind === 'cancelled' ? 'deadline' : 'connection-lost';
-  const detail = 'the entry that had the call is silent';
+  const detail = 'the entry to which the call was relayed did not answer';
   return { kind: 'told', outcome: createUnknown(reason, detail) };
 }
--- a/src/gateway/requests/forwarding.ts
+++ b/src/gateway/requests/forwarding.ts
@@ -320,7 +320,7 @@
     this.#triedTargets.add(target);
     this.#attemptCount += 1;
     this.#log.recordAttempt();
-    this.#ledger.noteSent();
+    this.#ledger.recordSent();
     if (target.advertisedRate.isLimited) {
       this.context.metrics.count('limited_calls', { service: request.service.name });
     }
@@ -365,20 +365,20 @@
         this.#handleAnswer(attempt, outcome.answer);
         return;
       case 'not-connected':
-        this.#ledger.noteNotRun();
+        this.#ledger.recordNotRun();
         this.#attemptCount -= 1;
         target.recordFailure();
         this.#log.logFailure(attempt, outcome.kind, outcome.reason);
         if (this.#runningAttempts.size === 0) this.#askForTarget();
         return;
       case 'withdrawn':
-        this.#ledger.noteNotRun();
+        this.#ledger.recordNotRun();
         this.#attemptCount -= 1;
         this.context.metrics.count('calls_withdrawn', { service: this.request.service.name });
         if (this.#runningAttempts.size === 0) this.#askForTarget();
         return;
       case 'not-run':
-        this.#ledger.noteNotRun();
+        this.#ledger.recordNotRun();
         target.recordFailure();
         this.#log.logFailure(attempt, outcome.kind, outcome.cause);
         this.#tryAgain('no-room');
@@ -393,7 +393,7 @@
         this.#tryAgain('lost');
         return;
       case 'cancelled':
-        if (!outcome.isSent) this.#ledger.noteNotRun();
+        if (!outcome.isSent) this.#ledger.recordNotRun();
         return;
       default:
         outcome satisfies never;
--- a/src/gateway/requests/request-reader.ts
+++ b/src/gateway/requests/request-reader.ts
@@ -4,7 +4,7 @@
  */
 import type { IncomingMessage } from 'node:http';
 import { type Readable, Transform } from 'node:stream';
-import { checkHead, normalizeTarget } from '../../proxy/door.js';
+import { checkHead, normalizeTarget } from '../../proxy/head-check.js';
 import { listPairs } from '../../proxy/headers.js';
 import { HEADERS } from '../../platform/index.js';
 import type { RequestLimits } from '../../routing/index.js';
--- a/src/proxy/attempt.ts
+++ b/src/proxy/attempt.ts
@@ -1,8 +1,9 @@
 /**
- * One attempt at one target: sends the call, and relays the answer or says truthfully what happened.
+ * One attempt at one target: sends the call, and either relays the answer or reports how it failed.
  *
- * The line that matters is `onRequestStart`: before it no byte of the call has been written, so the
- * call was not run; after it nobody knows, unless the target itself says that it did not run it.
+ * `onRequestStart` decides what is known about a failed attempt. Before it, no byte of the call has
+ * been written, so the call was not run. After it, the call may have run, unless the target reports
+ * that it did not.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Dispatcher } from 'undici';
@@ -16,7 +17,7 @@
   REPORT_HEADER,
   buildCallerHeaders,
   findHeader,
-  readReport,
+  parseReport,
 } from './headers.js';
 import type { UnknownReason } from './outcome.js';
 
@@ -24,49 +25,49 @@
 export type AttemptResult =
   /** The whole answer was passed to the caller. */
   | { readonly kind: 'relayed'; readonly status: number }
-  /** The answer broke off after its head; the caller's connection was cut. */
+  /** The answer broke off after its head had been passed on; the caller's connection was closed. */
   | { readonly kind: 'cut'; readonly detail: string }
-  /** No byte was sent, or the target said that it did not run the call. */
+  /** No byte was sent, or the target reported that it did not run the call. */
   | { readonly kind: 'not-run'; readonly cause: NotRunCause }
-  /** The call was sent and no whole answer came; nothing was passed to the caller. */
+  /** The call was sent but no usable answer came; nothing was passed to the caller. */
   | { readonly kind: 'lost'; readonly reason: UnknownReason; readonly detail: string }
-  /** A server error that the entry chose not to pass on, because it tries again. */
+  /** A server error that is not passed on, because the call is retried. */
   | { readonly kind: 'discarded'; readonly status: number }
-  /** The entry gave the attempt up: another attempt won, or the caller went away. */
+  /** Aborted by the entry: another attempt answered, the deadline passed or the caller left. */
   | { readonly kind: 'cancelled'; readonly sent: boolean };
 
-/** Why an attempt certainly did not run. */
+/** Why the call was certainly not run by an attempt. */
 export type NotRunCause =
   { readonly kind: 'target-shed' } | { readonly kind: 'not-connected'; readonly detail: string };
 
-/** Lets one of several attempts answer the caller. */
+/** Ensures that only one of several attempts answers the caller, and aborts the others. */
 export class AnswerGate {
   #owner: object | undefined;
 
-  readonly #losers = new Set<(reason: string) => void>();
+  readonly #abortCallbacks = new Set<(reason: string) => void>();
 
-  /** Registers how an attempt is given up when another one answers. */
-  enter(abort: (reason: string) => void): void {
-    this.#losers.add(abort);
+  /** Registers the callback that aborts an attempt when another one answers. */
+  add(abort: (reason: string) => void): void {
+    this.#abortCallbacks.add(abort);
   }
 
-  /** Takes the right to answer; false when another attempt has it. */
-  own(attempt: object, abort: (reason: string) => void): boolean {
+  /** Claims the right to answer and aborts the other attempts; false if another attempt has it. */
+  claim(attempt: object, abort: (reason: string) => void): boolean {
     if (this.#owner !== undefined) return this.#owner === attempt;
     this.#owner = attempt;
-    for (const other of this.#losers) {
+    for (const other of this.#abortCallbacks) {
       if (other !== abort) other('another attempt answered first');
     }
     return true;
   }
 
-  /** Whether any attempt has answered. */
-  get taken(): boolean {
+  /** Whether an attempt has claimed the right to answer. */
+  get isClaimed(): boolean {
     return this.#owner !== undefined;
   }
 }
 
-/** What an attempt is made from. */
+/** Inputs and callbacks of an attempt. */
 export interface AttemptOptions {
   readonly client: Dispatcher;
   readonly call: Call;
@@ -74,47 +75,48 @@
   readonly body: Body;
   readonly response: ServerResponse;
   readonly gate: AnswerGate;
-  /** Whether the answer comes from another entry, whose outcome header passes on. */
-  readonly keepsOutcome?: boolean;
-  /** Whether a server error with this status is kept from the caller to try again. */
-  readonly discards: (status: number) => boolean;
-  /** Whether the call may still be sent; asked right before its first byte. */
-  readonly isTimely: () => boolean;
+  /** Whether the answer's outcome header is passed on, as for answers of another entry. */
+  readonly keepsOutcomeHeader?: boolean;
+  /** Whether an answer with this status is discarded, so that the call can be retried. */
+  readonly isDiscarded: (status: number) => boolean;
+  /** Whether the call may still be sent; checked right before its first byte. */
+  readonly isBeforeDeadline: () => boolean;
   /** Called once when the first byte may have been written. */
   readonly onSent: () => void;
-  /** Called with what the target reports of itself. */
+  /** Called with the target's report about itself. */
   readonly onReport?: (report: TargetReport) => void;
-  /** Called when the attempt shows that nothing was run after all. */
+  /** Called when the target reports that it did not run the call. */
   readonly onNotRun: () => void;
 }
 
-/** A running attempt. */
+/** An attempt in progress. */
 export interface Attempt {
+  /** Resolves when the attempt has ended; never rejects. */
   readonly done: Promise<AttemptResult>;
-  /** Gives the attempt up; the target sees its connection close. */
+  /** Aborts the attempt and closes its connection to the target. */
   abort(reason: string): void;
 }
 
-const NO_BODY_STATUS = new Set([204, 304]);
-const EARLY_HINTS = 103;
-const FIRST_FINAL = 200;
+const NO_BODY_STATUSES = new Set([204, 304]);
+const EARLY_HINTS_STATUS = 103;
+const MIN_FINAL_STATUS = 200;
 
-/** Gives an attempt up for a reason that the entry chose. */
+/** Error with which the entry aborts its own attempts. */
 class AttemptAborted extends Error {
   override readonly name = 'AttemptAborted';
 }
 
-/** One instance serves all: recording a stack for each attempt that is given up costs too much. */
-const ABORTED = new AttemptAborted('given up by the entry');
+/** Shared instance: capturing a stack trace for each aborted attempt would cost too much. */
+const ABORTED = new AttemptAborted('aborted by the entry');
 
 function decodeHeaders(raw: Dispatcher.DispatchController['rawHeaders']): FlatHeaders {
   if (!Array.isArray(raw)) return [];
   return raw.map((part) => (typeof part === 'string' ? part : part.toString('latin1')));
 }
 
-/** Whether the end of an answer can be told from a broken connection. */
+/** Whether a complete answer can be told from one whose connection broke. */
 function isDelimited(method: string, status: number, headers: FlatHeaders): boolean {
-  if (method === 'HEAD' || NO_BODY_STATUS.has(status)) return true;
+  if (method === 'HEAD' || NO_BODY_STATUSES.has(status)) return true;
   if (findHeader(headers, 'content-length') !== undefined) return true;
   return findHeader(headers, 'transfer-encoding') !== undefined;
 }
@@ -126,7 +128,7 @@
     case 'buffered':
       return body.data;
     case 'stream':
-      // The library would destroy the request itself, and with it the caller's connection.
+      // Given the request itself, undici would destroy it, and the caller's connection with it.
       return readStream(body.request) as unknown as Dispatcher.DispatchOptions['body'];
     default:
       return body satisfies never;
@@ -138,7 +140,7 @@
 }
 
 function writeInformational(response: ServerResponse, status: number, headers: FlatHeaders): void {
-  if (status !== EARLY_HINTS || response.headersSent) return;
+  if (status !== EARLY_HINTS_STATUS || response.headersSent) return;
   const link = findHeader(headers, 'link');
   if (link !== undefined) response.writeEarlyHints({ link });
 }
@@ -147,11 +149,11 @@
 export function startAttempt(options: AttemptOptions): Attempt {
   const { call, response, gate } = options;
   const identity = {};
-  let starts = 0;
-  let headSent = false;
+  let startCount = 0;
+  let isHeadSent = false;
   let status = 0;
   let controller: Dispatcher.DispatchController | undefined;
-  let verdict: AttemptResult | undefined;
+  let decidedResult: AttemptResult | undefined;
   let abortedBeforeStart: string | undefined;
   let resolveDone: (result: AttemptResult) => void;
   const done = new Promise<AttemptResult>((resolve) => {
@@ -163,59 +165,59 @@
     else controller.abort(ABORTED);
   };
   const resume = () => controller?.resume();
-  /** Ends the attempt with a verdict of its own and closes the connection to the target. */
-  const stop = (result: AttemptResult) => {
-    verdict = result;
+  /** Ends the attempt with the given result and closes the connection to the target. */
+  const stopWith = (result: AttemptResult) => {
+    decidedResult = result;
     controller?.abort(ABORTED);
   };
 
-  function takeHead(code: number, headers: FlatHeaders): void {
-    const read = readReport(findHeader(headers, REPORT_HEADER));
-    options.onReport?.(read.report);
-    if (read.notRun) {
+  function handleResponseHead(code: number, headers: FlatHeaders): void {
+    const parsed = parseReport(findHeader(headers, REPORT_HEADER));
+    options.onReport?.(parsed.report);
+    if (parsed.notRun) {
       options.onNotRun();
-      stop({ kind: 'not-run', cause: { kind: 'target-shed' } });
+      stopWith({ kind: 'not-run', cause: { kind: 'target-shed' } });
       return;
     }
-    const echoed = findHeader(headers, CALL_HEADER);
-    if (echoed !== undefined && echoed !== call.id) {
-      const detail = `the answer belongs to call ${echoed}`;
-      stop({ kind: 'lost', reason: 'wrong-answer', detail });
+    const echoedCallId = findHeader(headers, CALL_HEADER);
+    if (echoedCallId !== undefined && echoedCallId !== call.id) {
+      const detail = `the answer belongs to call ${echoedCallId}`;
+      stopWith({ kind: 'lost', reason: 'wrong-answer', detail });
       return;
     }
     if (!isDelimited(call.method, code, headers)) {
-      const detail = 'the answer ends with its connection, so its end cannot be told';
-      stop({ kind: 'lost', reason: 'undelimited-answer', detail });
+      const detail = 'only the end of the connection marks the end of the answer';
+      stopWith({ kind: 'lost', reason: 'undelimited-answer', detail });
       return;
     }
-    if (options.discards(code)) {
-      stop({ kind: 'discarded', status: code });
+    if (options.isDiscarded(code)) {
+      stopWith({ kind: 'discarded', status: code });
       return;
     }
-    if (!gate.own(identity, abort)) {
-      stop({ kind: 'cancelled', sent: true });
+    if (!gate.claim(identity, abort)) {
+      stopWith({ kind: 'cancelled', sent: true });
       return;
     }
     status = code;
-    headSent = true;
-    response.writeHead(code, buildCallerHeaders(headers, call.id, options.keepsOutcome));
+    isHeadSent = true;
+    response.writeHead(code, buildCallerHeaders(headers, call.id, options.keepsOutcomeHeader));
     response.on('drain', resume);
   }
 
   const handler: Dispatcher.DispatchHandler = {
     onRequestStart(started) {
       controller = started;
-      starts += 1;
+      startCount += 1;
       if (abortedBeforeStart !== undefined) {
         started.abort(ABORTED);
         return;
       }
-      if (starts > 1) {
-        // The library offers to send the call again; whether that may be is not for it to decide.
+      if (startCount > 1) {
+        // undici is about to resend the call by itself, but only the forwarder decides on retries.
         started.abort(new Error('connection lost'));
         return;
       }
-      if (!options.isTimely()) {
+      if (!options.isBeforeDeadline()) {
         abortedBeforeStart = 'deadline';
         started.abort(ABORTED);
         return;
@@ -224,19 +226,19 @@
     },
     onResponseStart(started, code) {
       const headers = decodeHeaders(started.rawHeaders);
-      if (code < FIRST_FINAL) writeInformational(response, code, headers);
-      else takeHead(code, headers);
+      if (code < MIN_FINAL_STATUS) writeInformational(response, code, headers);
+      else handleResponseHead(code, headers);
     },
     onResponseData(started, chunk) {
-      if (verdict !== undefined) return;
+      if (decidedResult !== undefined) return;
       if (!response.write(chunk)) started.pause();
     },
     onResponseEnd(_started, trailers) {
-      if (verdict !== undefined) {
-        resolveDone(verdict);
+      if (decidedResult !== undefined) {
+        resolveDone(decidedResult);
         return;
       }
-      assertInvariant(headSent, 'an answer ends after its head was passed on');
+      assertInvariant(isHeadSent, 'an answer ends after its head was passed on');
       response.removeListener('drain', resume);
       if (Object.keys(trailers).length > 0) response.addTrailers(trailers);
       response.end();
@@ -244,16 +246,16 @@
     },
     onResponseError(_started, error) {
       response.removeListener('drain', resume);
-      if (verdict !== undefined) {
-        resolveDone(verdict);
+      if (decidedResult !== undefined) {
+        resolveDone(decidedResult);
         return;
       }
-      if (headSent) {
+      if (isHeadSent) {
         response.destroy();
         resolveDone({ kind: 'cut', detail: error.message });
         return;
       }
-      if (starts === 0 || (starts === 1 && abortedBeforeStart !== undefined)) {
+      if (startCount === 0 || (startCount === 1 && abortedBeforeStart !== undefined)) {
         resolveDone(
           abortedBeforeStart !== undefined || error === ABORTED
             ? { kind: 'cancelled', sent: false }
@@ -269,10 +271,10 @@
     },
   };
 
-  gate.enter(abort);
+  gate.add(abort);
   options.client.dispatch(
     {
-      path: call.target,
+      path: call.requestTarget,
       method: call.method,
       headers: options.headers as string[],
       body: buildBody(options.body),
--- a/src/proxy/headers.ts
+++ b/src/proxy/headers.ts
@@ -1,4 +1,4 @@
-/** Headers: the ones of ours, the ones that end at each hop, and what passes on. */
+/** Headers of calls and answers: Orchidbeam's own, hop-by-hop ones, and the forwarded ones. */
 import { OUTCOME_HEADER } from './outcome.js';
 import type { TargetReport, ReportedState } from '../balance/index.js';
 
@@ -6,24 +6,24 @@
 export const CALLER_HEADERS = {
   /** Time left for the call, in milliseconds. */
   deadline: 'orchidbeam-deadline',
-  /** The class of work. */
+  /** Name of the class of work. */
   class: 'orchidbeam-class',
-  /** Who calls, for fairness and policies. */
+  /** Name of the caller, used for fairness and by policies. */
   caller: 'orchidbeam-caller',
   /** `yes` or `no`: whether the call may be repeated. */
   repeatable: 'orchidbeam-repeatable',
-  /** Set on a call made while serving another one that was itself a retry. */
+  /** Set on a retry, and by a caller on the calls it makes while serving one. */
   retry: 'orchidbeam-retry',
   idempotencyKey: 'idempotency-key',
 } as const;
 
-/** Follows a call through every part; targets may echo it on their answer. */
+/** Carries the id of a call on every hop; targets may echo it in their answer. */
 export const CALL_HEADER = 'orchidbeam-call';
 
-/** A target's word on an answer: `not-run; state=draining; in-flight=3`. */
+/** A target's report about itself in an answer, such as `not-run; state=draining; in-flight=3`. */
 export const REPORT_HEADER = 'orchidbeam-report';
 
-/** The header of calls handed over between entries, on the relay listener only. */
+/** Carries the shared secret of entries on relayed calls; accepted on the relay listener only. */
 export const RELAY_HEADER = 'orchidbeam-relay';
 
 const HOP_BY_HOP = new Set([
@@ -31,17 +31,17 @@
   ...['te', 'trailer', 'transfer-encoding', 'upgrade', 'expect'],
 ]);
 
-const OWN_TO_TARGET = new Set<string>([
+const REMOVED_FROM_REQUESTS = new Set<string>([
   ...[CALL_HEADER, RELAY_HEADER, REPORT_HEADER, CALLER_HEADERS.deadline, OUTCOME_HEADER],
   ...['orchidbeam-retry', 'x-forwarded-for'],
 ]);
 
-const OWN_TO_CALLER = new Set<string>([REPORT_HEADER, OUTCOME_HEADER, CALL_HEADER]);
+const REMOVED_FROM_ANSWERS = new Set<string>([REPORT_HEADER, OUTCOME_HEADER, CALL_HEADER]);
 
-/** Headers as a flat list: name, value, name, value. */
+/** Headers as a flat list of alternating names and values. */
 export type FlatHeaders = readonly string[];
 
-/** Yields the pairs of a flat list. */
+/** Yields the name-value pairs of a flat list. */
 export function* listPairs(flat: FlatHeaders): Generator<readonly [string, string]> {
   for (let index = 0; index + 1 < flat.length; index += 2) {
     yield [flat[index], flat[index + 1]];
@@ -50,7 +50,10 @@
 
 const NO_TOKENS: ReadonlySet<string> = new Set();
 
-/** Names that a `Connection` header makes hop-by-hop; most messages name none but the usual ones. */
+/**
+ * Lists the names that `Connection` headers make hop-by-hop. Most messages name only headers that
+ * are hop-by-hop anyway, and skip the parsing.
+ */
 function listConnectionTokens(flat: FlatHeaders): ReadonlySet<string> {
   const value = findHeader(flat, 'connection');
   if (value === undefined || HOP_BY_HOP.has(value.toLowerCase()) || value === 'close') {
@@ -64,56 +67,56 @@
   return tokens;
 }
 
-function filterHeaders(flat: FlatHeaders, drops: (name: string) => boolean): string[] {
+function filterHeaders(flat: FlatHeaders, isDropped: (name: string) => boolean): string[] {
   const tokens = listConnectionTokens(flat);
   const kept: string[] = [];
   for (const [name, value] of listPairs(flat)) {
     const lower = name.toLowerCase();
-    if (HOP_BY_HOP.has(lower) || tokens.has(lower) || drops(lower)) continue;
+    if (HOP_BY_HOP.has(lower) || tokens.has(lower) || isDropped(lower)) continue;
     kept.push(name, value);
   }
   return kept;
 }
 
-/** What the entry adds to a call on its way to a target. */
-export interface Addition {
-  readonly call: string;
+/** Values of the headers that the entry adds to a call for a target. */
+export interface TargetHeaderValues {
+  readonly callId: string;
   /** Time left, in milliseconds. */
-  readonly left: number;
+  readonly timeLeft: number;
   readonly callerAddress: string;
   readonly forwardedFor: string | undefined;
   readonly isRetry: boolean;
 }
 
-/** Builds the headers of a call for a target: those of the caller that pass on, and ours. */
-export function buildTargetHeaders(flat: FlatHeaders, addition: Addition): string[] {
-  const headers = filterHeaders(flat, (name) => OWN_TO_TARGET.has(name));
-  headers.push(CALL_HEADER, addition.call);
-  headers.push(CALLER_HEADERS.deadline, String(Math.max(1, Math.floor(addition.left))));
-  const { forwardedFor, callerAddress } = addition;
+/** Builds the headers of a call for a target: those forwarded from the caller and the entry's. */
+export function buildTargetHeaders(flat: FlatHeaders, values: TargetHeaderValues): string[] {
+  const headers = filterHeaders(flat, (name) => REMOVED_FROM_REQUESTS.has(name));
+  headers.push(CALL_HEADER, values.callId);
+  headers.push(CALLER_HEADERS.deadline, String(Math.max(1, Math.floor(values.timeLeft))));
+  const { forwardedFor, callerAddress } = values;
   headers.push(
     'x-forwarded-for',
     forwardedFor === undefined ? callerAddress : `${forwardedFor}, ${callerAddress}`,
   );
-  if (addition.isRetry) headers.push(CALLER_HEADERS.retry, '1');
+  if (values.isRetry) headers.push(CALLER_HEADERS.retry, '1');
   return headers;
 }
 
-/** Builds the headers of an answer for the caller. */
+/** Builds the headers of an answer; `keepsOutcomeHeader` lets the outcome header pass. */
 export function buildCallerHeaders(
   flat: FlatHeaders,
-  call: string,
-  keepsOutcome = false,
+  callId: string,
+  keepsOutcomeHeader = false,
 ): string[] {
   const headers = filterHeaders(
     flat,
-    (name) => OWN_TO_CALLER.has(name) && !(keepsOutcome && name === OUTCOME_HEADER),
+    (name) => REMOVED_FROM_ANSWERS.has(name) && !(keepsOutcomeHeader && name === OUTCOME_HEADER),
   );
-  headers.push(CALL_HEADER, call);
+  headers.push(CALL_HEADER, callId);
   return headers;
 }
 
-/** Finds the value of a header in a flat list. */
+/** Finds the first value of a header; `wanted` is in lower case. */
 export function findHeader(flat: FlatHeaders, wanted: string): string | undefined {
   for (const [name, value] of listPairs(flat)) {
     if (name.length === wanted.length && name.toLowerCase() === wanted) return value;
@@ -121,29 +124,29 @@
   return undefined;
 }
 
-/** A target's report, and whether it says that the call was not run. */
-export interface ReadReport {
+/** A parsed report header: the target's report, and whether it says that the call was not run. */
+export interface ParsedReport {
   readonly notRun: boolean;
   readonly report: TargetReport;
 }
 
-const WORDS: readonly ReportedState[] = ['ready', 'cold', 'draining'];
-const NO_REPORT: ReadReport = {
+const REPORTED_STATES: readonly ReportedState[] = ['ready', 'cold', 'draining'];
+const NO_REPORT: ParsedReport = {
   notRun: false,
   report: { state: undefined, inFlight: undefined },
 };
 
-/** Reads a report header; parts that cannot be read are ignored. */
-export function readReport(value: string | undefined): ReadReport {
+/** Parses a report header; unknown and malformed parts are ignored. */
+export function parseReport(value: string | undefined): ParsedReport {
   if (value === undefined) return NO_REPORT;
   let notRun = false;
-  let word: ReportedState | undefined;
+  let reportedState: ReportedState | undefined;
   let inFlight: number | undefined;
   for (const part of value.split(';')) {
     const [name = '', text = ''] = part.trim().split('=');
     if (name === 'not-run') notRun = true;
-    if (name === 'state') word = WORDS.find((known) => known === text);
+    if (name === 'state') reportedState = REPORTED_STATES.find((known) => known === text);
     if (name === 'in-flight' && /^\d{1,6}$/.test(text)) inFlight = Number(text);
   }
-  return { notRun, report: { state: word, inFlight } };
+  return { notRun, report: { state: reportedState, inFlight } };
 }
--- a/src/proxy/server.ts
+++ b/src/proxy/http-listener.ts
@@ -1,35 +1,37 @@
-/** An HTTP listener for callers or for calls handed over between entries. */
+/** An HTTP listener, for callers or for calls relayed between entries. */
 import http, { type IncomingMessage, type ServerResponse } from 'node:http';
 import type { Duplex } from 'node:stream';
 import type { Address, KeyPair, Listener, Network } from '../kernel/index.js';
-import { type Refusal, checkHead, normalizeTarget } from './door.js';
+import { type HeadRefusal, checkHead, normalizeTarget } from './head-check.js';
 import { createNotRun } from './outcome.js';
 
-/** What a listener is made from. */
+/** Configuration and callbacks of a listener. */
 export interface HttpListenerOptions {
   readonly network: Network;
   readonly address: Address;
+  /** Certificate and key; without them the listener is plain HTTP. */
   readonly keys?: KeyPair;
   readonly maxConnections: number;
   readonly maxHeaderBytes: number;
-  /** Longest wait for the headers of a call, in milliseconds. */
+  /** Timeout for receiving the headers of a call, in milliseconds. */
   readonly headerTimeout: number;
-  /** Longest pause inside the body of a call, in milliseconds. */
+  /** Timeout for a pause within the body of a call, in milliseconds. */
   readonly bodyTimeout: number;
   readonly handle: (request: IncomingMessage, response: ServerResponse) => void;
-  /** Called for each request that was turned away at the door. */
+  /** Called for each request or connection that the listener rejects. */
   readonly onRefused: (detail: string) => void;
 }
 
 /** A running listener. */
 export interface HttpListener {
   readonly address: Address;
-  /** Connections open now. */
+  /** Returns the number of open connections. */
   countConnections(): number;
+  /** Replaces the certificate and key for new connections. */
   replaceKeys(keys: KeyPair): void;
-  /** Stops accepting, closes idle connections, and answers busy ones with `Connection: close`. */
+  /** Stops accepting and closes idle connections; answers on busy ones get `Connection: close`. */
   drain(): Promise<void>;
-  /** Closes every connection. */
+  /** Stops accepting and closes all connections immediately. */
   destroy(): void;
 }
 
@@ -39,8 +41,8 @@
 };
 const BAD_REQUEST = 400;
 const NOT_IMPLEMENTED = 501;
-const KEEP_ALIVE = 30_000;
-const CHECK_INTERVAL = 1000;
+const KEEP_ALIVE_TIMEOUT_MS = 30_000;
+const TIMEOUT_CHECK_INTERVAL_MS = 1000;
 
 function writeRawRefusal(socket: Duplex, status: number, detail: string): void {
   if (!socket.writable) return;
@@ -52,8 +54,8 @@
   );
 }
 
-function refuseRequest(response: ServerResponse, refusal: Refusal): void {
-  // The framing of a refused request is not trusted, so its connection ends with the answer.
+function refuseRequest(response: ServerResponse, refusal: HeadRefusal): void {
+  // The framing of a rejected request cannot be trusted, so its connection closes after the answer.
   response.shouldKeepAlive = false;
   const outcome = createNotRun('bad-request', refusal.detail);
   const body = JSON.stringify({ ...outcome, outcome: 'not-run', status: refusal.status });
@@ -68,8 +70,8 @@
 /** Starts a listener. */
 export async function startHttpListener(options: HttpListenerOptions): Promise<HttpListener> {
   const sockets = new Set<Duplex>();
-  const busy = new Set<ServerResponse>();
-  let draining = false;
+  const openResponses = new Set<ServerResponse>();
+  let isDraining = false;
 
   function serveRequest(request: IncomingMessage, response: ServerResponse): void {
     normalizeTarget(request);
@@ -79,9 +81,9 @@
       refuseRequest(response, refusal);
       return;
     }
-    busy.add(response);
-    response.on('close', () => busy.delete(response));
-    if (draining) response.shouldKeepAlive = false;
+    openResponses.add(response);
+    response.on('close', () => openResponses.delete(response));
+    if (isDraining) response.shouldKeepAlive = false;
     options.handle(request, response);
   }
 
@@ -89,8 +91,8 @@
     maxHeaderSize: options.maxHeaderBytes,
     headersTimeout: options.headerTimeout,
     requestTimeout: 0,
-    connectionsCheckingInterval: CHECK_INTERVAL,
-    keepAliveTimeout: KEEP_ALIVE,
+    connectionsCheckingInterval: TIMEOUT_CHECK_INTERVAL_MS,
+    keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
     noDelay: true,
     requireHostHeader: false,
   });
@@ -100,35 +102,35 @@
   server.on('checkExpectation', serveRequest);
   server.on('connect', (_request: IncomingMessage, socket: Duplex) => {
     options.onRefused('CONNECT');
-    writeRawRefusal(socket, NOT_IMPLEMENTED, 'CONNECT is not served');
+    writeRawRefusal(socket, NOT_IMPLEMENTED, 'CONNECT is not supported');
   });
-  const findBusy = (socket: Duplex) =>
-    [...busy].filter((response) => response.req.socket === socket);
+  const findOpenResponses = (socket: Duplex) =>
+    [...openResponses].filter((response) => response.req.socket === socket);
 
   server.on('clientError', (error: NodeJS.ErrnoException, socket) => {
     const { code = '' } = error;
     options.onRefused(code);
-    const calls = findBusy(socket);
-    if (code === 'ECONNRESET' || calls.some((response) => !response.req.complete)) {
-      // Part of a call was passed on already, so nothing true can be said of it here.
+    const responses = findOpenResponses(socket);
+    if (code === 'ECONNRESET' || responses.some((response) => !response.req.complete)) {
+      // Part of a call has been forwarded already, so it is unknown here whether it ran.
       socket.destroy();
       return;
     }
-    const last = calls.at(-1);
+    const last = responses.at(-1);
     if (last === undefined) {
       writeRawRefusal(socket, PARSER_STATUS[code] ?? BAD_REQUEST, error.message);
       return;
     }
-    // The calls before the bad bytes are answered first: no answer may overtake another.
+    // Pipelined calls before the malformed bytes are answered first, as answers must stay in order.
     last.shouldKeepAlive = false;
     last.on('finish', () => socket.end());
   });
   server.setTimeout(options.bodyTimeout, (socket: Duplex) => {
-    // A pause while the target works is not the caller's; only an unfinished body is.
-    if (findBusy(socket).some((response) => !response.req.complete)) socket.destroy();
+    // The timeout is for an unfinished body only, not for a pause while the target runs the call.
+    if (findOpenResponses(socket).some((response) => !response.req.complete)) socket.destroy();
   });
 
-  // The library checks for slow headers only once it believes that it listens itself.
+  // `network` listens in place of this server; node:http checks for slow headers after `listening`.
   server.emit('listening');
   const listener: Listener = await options.network.listen({
     address: options.address,
@@ -150,12 +152,14 @@
     countConnections: () => sockets.size,
     replaceKeys: (keys) => listener.replaceKeys(keys),
     async drain() {
-      draining = true;
-      for (const response of busy) response.shouldKeepAlive = false;
+      isDraining = true;
+      for (const response of openResponses) response.shouldKeepAlive = false;
       await listener.close();
-      const occupied = new Set<Duplex>([...busy].map((response) => response.req.socket));
+      const busySockets = new Set<Duplex>(
+        [...openResponses].map((response) => response.req.socket),
+      );
       for (const socket of sockets) {
-        if (!occupied.has(socket)) socket.end();
+        if (!busySockets.has(socket)) socket.end();
       }
     },
     destroy() {
--- a/src/proxy/index.ts
+++ b/src/proxy/index.ts
@@ -1,4 +1,4 @@
-/** Calls over HTTP: the door, reading a call, attempts at targets, and what a caller is told. */
+/** HTTP proxying: listeners, request validation, call parsing, attempts at targets, outcomes. */
 export * from './outcome.js';
 export * from './headers.js';
 export * from './call.js';
@@ -6,5 +6,5 @@
 export * from './attempt.js';
 export * from './ledger.js';
 export * from './forwarder.js';
-export * from './door.js';
-export * from './server.js';
+export * from './head-check.js';
+export * from './http-listener.js';
--- a/test/helpers/fleet.ts
+++ b/test/helpers/fleet.ts
@@ -1,21 +1,21 @@
-/** Requests to daemons, and waiting for what they come to. */
+/** Helpers that send requests to daemons and wait for conditions. */
 import http from 'node:http';
 import { pause } from '../../src/demo/index.js';
 import type { Address } from '../../src/kernel/index.js';
 
 export { Fleet, SECRET, putDocuments, writeService } from '../../src/demo/fleet.js';
 
-/** An answer as read by {@link send}. */
+/** A response as read by {@link send}. */
 export interface Reply {
   readonly status: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly text: string;
-  /** Whether the answer came to its proper end. */
+  /** Whether the response was received completely. */
   readonly whole: boolean;
 }
 
-/** What to send. */
-export interface Sending {
+/** Properties of a request; a plain `GET /` by default. */
+export interface RequestOptions {
   readonly method?: string;
   readonly path?: string;
   readonly headers?: http.OutgoingHttpHeaders;
@@ -23,11 +23,11 @@
 }
 
 /** Sends one request to an entry, for the service of {@link writeService}. */
-export function send(to: Address, sending: Sending = {}): Promise<Reply> {
+export function send(to: Address, options: RequestOptions = {}): Promise<Reply> {
   return new Promise((resolve, reject) => {
     const request = http.request({
-      ...{ host: to.host, port: to.port, method: sending.method ?? 'GET', agent: false },
-      ...{ path: sending.path ?? '/', headers: { host: 'test.example', ...sending.headers } },
+      ...{ host: to.host, port: to.port, method: options.method ?? 'GET', agent: false },
+      ...{ path: options.path ?? '/', headers: { host: 'test.example', ...options.headers } },
     });
     request.on('error', reject);
     request.on('response', (response) => {
@@ -43,15 +43,15 @@
         }),
       );
     });
-    request.end(sending.body);
+    request.end(options.body);
   });
 }
 
-/** Waits until a condition holds. */
-export async function waitUntil(holds: () => boolean, what: string): Promise<void> {
-  for (let turn = 0; turn < 500; turn += 1) {
-    if (holds()) return;
+/** Waits until a condition holds; throws after about ten seconds, naming it by `description`. */
+export async function waitUntil(condition: () => boolean, description: string): Promise<void> {
+  for (let poll = 0; poll < 500; poll += 1) {
+    if (condition()) return;
     await pause(20);
   }
-  throw new Error(`never came true: ${what}`);
+  throw new Error(`timed out waiting for: ${description}`);
 }
