--- a/src/bin/soak.ts
+++ b/src/bin/soak.ts
@@ -18,7 +18,7 @@
 let breaks = 0;
 for (let seed = first; seed < first + Number(values.runs); seed += 1) {
   const report = await runSoak({
-    ...{ seed, length: Number(values.seconds) * 1000, daemons: Number(values.daemons) },
+    ...{ seed, duration: Number(values.seconds) * 1000, daemons: Number(values.daemons) },
     ...{ targets: Number(values.targets), callers: Number(values.callers) },
     onEvent: values.verbose === true ? (text) => process.stderr.write(`${text}\n`) : undefined,
   });
--- a/src/soak/caller.ts
+++ b/src/soak/caller.ts
@@ -3,7 +3,7 @@
 import { type Random, pickItem } from '../kernel/index.js';
 import { HOST } from '../standin/index.js';
 import { DAEMON_PORTS } from './daemon-process.js';
-import type { TryEnd, Witness } from './witness.js';
+import type { RequestOutcome, SoakChecker } from './checker.js';
 
 /** What a caller is made from. */
 export interface CallerOptions {
@@ -11,7 +11,7 @@
   /** Addresses of all daemons; a daemon is known by its place. */
   readonly ips: readonly string[];
   readonly random: Random;
-  readonly witness: Witness;
+  readonly witness: SoakChecker;
   readonly now: () => number;
 }
 
@@ -74,10 +74,10 @@
     const route = pickItem(ROUTES, random);
     const id = `${route}-${name}-${this.#count}`;
     const isRepeatable = route !== 'once';
-    witness.noteTry({ id, isRepeatable, daemon: ips.indexOf(ip), sentAt: now() });
+    witness.recordRequest({ id, isRepeatable, daemon: ips.indexOf(ip), sentAt: now() });
     const patience = random.next() < LEAVING_SHARE ? PATIENCE * random.next() : PATIENCE;
     const end = await this.#send(ip, { id, route, patience });
-    witness.noteEnd(id, end, now());
+    witness.recordOutcome(id, end, now());
     // Whoever is not answered asks anew for addresses.
     if (end.kind === 'cut' || end.kind === 'not-connected') this.#askedAt = -Infinity;
   }
@@ -89,7 +89,7 @@
       route,
       patience,
     }: { readonly id: string; readonly route: string; readonly patience: number },
-  ): Promise<TryEnd> {
+  ): Promise<RequestOutcome> {
     const method = route === 'once' ? 'POST' : 'GET';
     const body = route === 'once' ? 'pay' : undefined;
     return new Promise((resolve) => {
@@ -103,7 +103,7 @@
         resolve({ kind: 'left' });
         request.destroy();
       }, patience);
-      const conclude = (end: TryEnd) => {
+      const conclude = (end: RequestOutcome) => {
         clearTimeout(timer);
         resolve(end);
       };
--- a/src/soak/witness.ts
+++ b/src/soak/checker.ts
@@ -4,7 +4,7 @@
  */
 
 /** How a caller's try ended. */
-export type TryEnd =
+export type RequestOutcome =
   | {
       readonly kind: 'answered';
       readonly status: number;
@@ -21,7 +21,7 @@
   readonly isRepeatable: boolean;
   readonly daemon: number;
   readonly sentAt: number;
-  end: (TryEnd & { readonly at: number }) | undefined;
+  end: (RequestOutcome & { readonly at: number }) | undefined;
 }
 
 interface Run {
@@ -42,7 +42,7 @@
 }
 
 /** A promise that was broken, and what shows it. */
-export interface Break {
+export interface Violation {
   readonly promise:
     | 'own and whole answers'
     | 'true refusals'
@@ -58,7 +58,7 @@
 }
 
 /** What was agreed with the operators. Times in milliseconds. */
-export interface Agreement {
+export interface PromisedLimits {
   readonly drainTime: number;
   readonly applyTime: number;
   readonly probesPerSecond: number;
@@ -95,7 +95,7 @@
 }
 
 /** Collects what was seen. */
-export class Witness {
+export class SoakChecker {
   readonly #tries = new Map<string, Try>();
 
   readonly #runs: Run[] = [];
@@ -114,59 +114,59 @@
 
   readonly #faults: { readonly from: number; readonly to: number }[] = [];
 
-  constructor(private readonly agreement: Agreement) {}
+  constructor(private readonly agreement: PromisedLimits) {}
 
-  noteTry(made: Omit<Try, 'end'>): void {
+  recordRequest(made: Omit<Try, 'end'>): void {
     this.#tries.set(made.id, { ...made, end: undefined });
   }
 
-  noteEnd(id: string, end: TryEnd, at: number): void {
+  recordOutcome(id: string, end: RequestOutcome, at: number): void {
     const made = this.#tries.get(id);
     if (made !== undefined) made.end = { ...end, at };
   }
 
-  noteRun(run: Run): void {
+  recordRun(run: Run): void {
     this.#runs.push(run);
   }
 
-  noteProbe(target: string, at: number): void {
+  recordProbe(target: string, at: number): void {
     const known = this.#probes.get(target);
     if (known === undefined) this.#probes.set(target, [at]);
     else known.push(at);
   }
 
   /** A target rejected a request and asked for a back-off. */
-  noteRejection(rejection: Rejection): void {
+  recordRejection(rejection: Rejection): void {
     this.#rejections.push(rejection);
   }
 
   /** A daemon is stopped, killed or frozen. */
-  noteInterruption(daemon: number, at: number): void {
+  recordInterruption(daemon: number, at: number): void {
     this.#interruptions.push({ daemon, at });
   }
 
   /** The store holds from now on that a target leaves. */
-  noteDrain(target: string, at: number): void {
+  recordDrain(target: string, at: number): void {
     this.#drains.set(target, at);
   }
 
   /** A daemon was told to stop. */
-  noteStop(daemon: number, at: number): void {
+  recordStop(daemon: number, at: number): void {
     this.#stops.push({ daemon, at });
   }
 
   /** The store holds from now on a configuration that sends the moving route to a service. */
-  noteConfigured(service: string, at: number): void {
+  recordConfiguration(service: string, at: number): void {
     this.#configured.push({ service, at });
   }
 
   /** Something was made to fail; promises with a time in them do not bind meanwhile. */
-  noteFault(from: number, to: number): void {
+  recordFault(from: number, to: number): void {
     this.#faults.push({ from, to });
   }
 
   /** How many tries ended in which way. */
-  countEnds(): Readonly<Record<string, number>> {
+  countOutcomes(): Readonly<Record<string, number>> {
     const counts: Record<string, number> = {};
     for (const { end } of this.#tries.values()) {
       const name = end?.kind === 'answered' ? String(end.status) : (end?.kind ?? 'open');
@@ -176,7 +176,7 @@
   }
 
   /** Lists the promises that what was seen breaks. */
-  listBreaks(): readonly Break[] {
+  listViolations(): readonly Violation[] {
     return [
       ...this.#checkAnswers(),
       ...this.#checkRuns(),
@@ -200,8 +200,8 @@
     return this.#faults.every((fault) => fault.from > to || fault.to + CALM_AFTER < from);
   }
 
-  #checkAnswers(): readonly Break[] {
-    const breaks: Break[] = [];
+  #checkAnswers(): readonly Violation[] {
+    const breaks: Violation[] = [];
     for (const { id, end } of this.#tries.values()) {
       if (end?.kind !== 'answered' || end.status !== 200) continue;
       if (end.isSigned && end.body === composeBody(id)) continue;
@@ -210,8 +210,8 @@
     return breaks;
   }
 
-  #checkRuns(): readonly Break[] {
-    const breaks: Break[] = [];
+  #checkRuns(): readonly Violation[] {
+    const breaks: Violation[] = [];
     const counts = new Map<string, number>();
     for (const { id } of this.#runs) counts.set(id, (counts.get(id) ?? 0) + 1);
     for (const [id, count] of counts) {
@@ -226,8 +226,8 @@
     return breaks;
   }
 
-  #checkDrains(): readonly Break[] {
-    const breaks: Break[] = [];
+  #checkDrains(): readonly Violation[] {
+    const breaks: Violation[] = [];
     for (const { id, target, at } of this.#runs) {
       const drainedAt = this.#drains.get(target) ?? Infinity;
       const late = at - drainedAt - this.agreement.drainTime;
@@ -238,8 +238,8 @@
   }
 
   /** What callers sent well after their daemon had passed on that a target drains never reaches that one from there. */
-  #checkStatedDrains(): readonly Break[] {
-    const breaks: Break[] = [];
+  #checkStatedDrains(): readonly Violation[] {
+    const breaks: Violation[] = [];
     const counts = new Map<string, number>();
     for (const { id } of this.#runs) counts.set(id, (counts.get(id) ?? 0) + 1);
     const told = new Map<string, number>();
@@ -261,8 +261,8 @@
     return breaks;
   }
 
-  #checkBackoffs(): readonly Break[] {
-    const breaks: Break[] = [];
+  #checkBackoffs(): readonly Violation[] {
+    const breaks: Violation[] = [];
     const arrivals = [...this.#runs, ...this.#rejections];
     for (const { id, target, at, backoff } of this.#rejections) {
       const daemon = this.#tries.get(id)?.daemon ?? -1;
@@ -283,8 +283,8 @@
   }
 
   /** A planned stop cuts nothing that was sent before it or while callers could not know. */
-  #checkStops(): readonly Break[] {
-    const breaks: Break[] = [];
+  #checkStops(): readonly Violation[] {
+    const breaks: Violation[] = [];
     for (const { daemon, at } of this.#stops) {
       for (const { id, daemon: asked, sentAt, end } of this.#tries.values()) {
         if (asked !== daemon || end?.kind !== 'cut' || end.at < at || sentAt > end.at) continue;
@@ -297,8 +297,8 @@
     return breaks;
   }
 
-  #checkConfiguration(): readonly Break[] {
-    const breaks: Break[] = [];
+  #checkConfiguration(): readonly Violation[] {
+    const breaks: Violation[] = [];
     for (const { id, service, at } of this.#runs) {
       const made = this.#tries.get(id);
       if (made === undefined || !id.startsWith('moving')) continue;
@@ -314,7 +314,7 @@
     return breaks;
   }
 
-  #checkProbes(): readonly Break[] {
+  #checkProbes(): readonly Violation[] {
     const most = (this.agreement.probesPerSecond * PROBE_SPAN) / 1000;
     for (const [target, times] of this.#probes) {
       for (const [index, at] of times.entries()) {
@@ -326,7 +326,7 @@
     return [];
   }
 
-  #checkRepeats(): readonly Break[] {
+  #checkRepeats(): readonly Violation[] {
     const { retryRatio, retryWindow, retrySlack } = this.agreement;
     const seen = new Set<string>();
     const repeats: number[] = [];
--- a/src/soak/daemon-process.ts
+++ b/src/soak/daemon-process.ts
@@ -13,7 +13,7 @@
 };
 
 /** What a daemon is started with. */
-export interface DaemonPlan {
+export interface DaemonOptions {
   readonly ip: string;
   readonly domain: string;
   readonly seeds: readonly string[];
@@ -23,7 +23,7 @@
   /** Where its settings are written. */
   readonly directory: string;
   /** The sections that all daemons share, as lines. */
-  readonly promises: readonly string[];
+  readonly promiseSettings: readonly string[];
 }
 
 /** A process that ends without an order is started again after this long. */
@@ -41,7 +41,7 @@
 
   /** @param onEnd called with the exit code when a process has ended that was not killed */
   constructor(
-    private readonly plan: DaemonPlan,
+    private readonly plan: DaemonOptions,
     private readonly onEnd: (code: number) => void,
   ) {
     this.#file = join(plan.directory, `${plan.ip}.ini`);
@@ -105,7 +105,7 @@
   }
 
   #composeSettings(): string {
-    const { ip, domain, seeds, store, cores, promises } = this.plan;
+    const { ip, domain, seeds, store, cores, promiseSettings: promises } = this.plan;
     return [
       ...['[gateway]', `name = vm-${ip}`, `ip = ${ip}`, `domain = ${domain}`, 'region = r1'],
       ...[`callers = ${ip}:${DAEMON_PORTS.callers}`, `readiness = ${ip}:${DAEMON_PORTS.readiness}`],
--- a/src/soak/plan.ts
+++ b/src/soak/plan.ts
@@ -38,7 +38,7 @@
   readonly daemons: number;
   readonly targets: number;
   /** Milliseconds. */
-  readonly length: number;
+  readonly duration: number;
 }
 
 /** Time between two entries of a plan, in milliseconds: they come in series and overlap. */
@@ -129,7 +129,7 @@
 /** Draws a plan; nothing happens in its last part, so that the system can heal. */
 export function drawPlan(random: Random, size: SoakSize): readonly SoakEvent[] {
   const events: SoakEvent[] = [];
-  const end = size.length * 0.8;
+  const end = size.duration * 0.8;
   for (let at = GAP; at < end; at += 2 * GAP * random.next()) {
     events.push(drawEvent(Math.round(at), size, random));
   }
--- a/src/soak/run.ts
+++ b/src/soak/run.ts
@@ -4,12 +4,12 @@
 import { join } from 'node:path';
 import { createSeededRandom } from '../kernel/index.js';
 import { KEYS } from '../platform/index.js';
-import { KvStandin, SiteTarget, writeConfiguration, writeTarget } from '../standin/index.js';
+import { KvServer, RecordingTarget, writeConfiguration, writeTarget } from '../standin/index.js';
 import { Caller } from './caller.js';
 import { DaemonProcess } from './daemon-process.js';
 import { Link } from './link.js';
 import { type SoakEvent, type SoakSize, drawPlan } from './plan.js';
-import { type Agreement, type Break, Witness, composeBody } from './witness.js';
+import { type PromisedLimits, type Violation, SoakChecker, composeBody } from './checker.js';
 
 /** What a soak is told. */
 export interface SoakOptions extends SoakSize {
@@ -23,10 +23,10 @@
   readonly seed: number;
   readonly events: number;
   readonly ends: Readonly<Record<string, number>>;
-  readonly breaks: readonly Break[];
+  readonly breaks: readonly Violation[];
 }
 
-const AGREEMENT: Agreement = {
+const AGREEMENT: PromisedLimits = {
   ...{ drainTime: 2000, applyTime: 2000, probesPerSecond: 60 },
   ...{ retryRatio: 0.2, retryWindow: 10_000, retrySlack: 20 },
 };
@@ -44,7 +44,7 @@
 
 interface Place {
   readonly service: string;
-  target: SiteTarget;
+  target: RecordingTarget;
   link: Link;
 }
 
@@ -54,16 +54,16 @@
 
   readonly #random;
 
-  readonly #witness = new Witness(AGREEMENT);
+  readonly #witness = new SoakChecker(AGREEMENT);
 
-  readonly #store = new KvStandin();
+  readonly #store = new KvServer();
 
   readonly #storeLinks: Link[] = [];
 
   readonly #daemons: DaemonProcess[] = [];
 
   /** Seconds for which targets that reject what they get want nothing. */
-  readonly #backoffs = new Map<SiteTarget, number>();
+  readonly #backoffs = new Map<RecordingTarget, number>();
 
   readonly #places: Place[] = [];
 
@@ -81,7 +81,7 @@
   readonly #now = () => performance.now() - this.#startedAt;
 
   async run(): Promise<SoakReport> {
-    const { daemons, targets, callers, length } = this.options;
+    const { daemons, targets, callers, duration: length } = this.options;
     const plan = drawPlan(this.#random, this.options);
     const ips = Array.from({ length: daemons }, (_, index) => `${NETWORK}.${FIRST_IP + index}`);
     this.#directory = await mkdtemp(join(tmpdir(), 'orchidbeam-soak-'));
@@ -109,11 +109,11 @@
     ends.abort();
     await Promise.all(calling);
     await this.#close();
-    const breaks = this.#witness.listBreaks();
+    const breaks = this.#witness.listViolations();
     return {
       seed: this.options.seed,
       events: plan.length,
-      ends: this.#witness.countEnds(),
+      ends: this.#witness.countOutcomes(),
       breaks,
     };
   }
@@ -133,24 +133,24 @@
       { prefix: '/moving/', service },
     ];
     this.#store.put(KEYS.configuration, writeConfiguration(this.#version, rules));
-    this.#witness.noteConfigured(service, this.#now());
+    this.#witness.recordConfiguration(service, this.#now());
   }
 
   async #openPlace(service: string): Promise<Place> {
     this.#incarnations += 1;
-    const target = await new SiteTarget(`i-${this.#incarnations}`).start();
-    target.onProbe = () => this.#witness.noteProbe(target.incarnation, this.#now());
+    const target = await new RecordingTarget(`i-${this.#incarnations}`).start();
+    target.onProbe = () => this.#witness.recordProbe(target.incarnation, this.#now());
     target.behaviour = (request, response) => {
       const id = String(request.headers['attempt-id']);
       const arrival = { id, target: target.incarnation, at: this.#now() };
       const backoff = this.#backoffs.get(target);
       request.resume();
       if (backoff !== undefined) {
-        this.#witness.noteRejection({ ...arrival, backoff: backoff * SECOND });
+        this.#witness.recordRejection({ ...arrival, backoff: backoff * SECOND });
         target.reject(response, String(backoff));
         return;
       }
-      this.#witness.noteRun({ ...arrival, service, saysDraining: target.draining !== undefined });
+      this.#witness.recordRun({ ...arrival, service, saysDraining: target.draining !== undefined });
       const work = LEAST_WORK + this.#random.next() * (MOST_WORK - LEAST_WORK);
       setTimeout(() => target.answer(request, response, composeBody(id)), work);
     };
@@ -169,7 +169,7 @@
         ...{ ip, domain: `d${index % 3}`, seeds: ips.slice(0, 3), store: await link.start() },
         cores: 0.5,
         directory: this.#directory,
-        promises: [
+        promiseSettings: [
           ...[`grace = ${GRACE}`, 'answer_ttl = 5', `retry_ratio = ${AGREEMENT.retryRatio}`],
           ...[`retry_window = ${AGREEMENT.retryWindow / 1000}`],
           ...[`retry_slack = ${AGREEMENT.retrySlack}`],
@@ -207,18 +207,18 @@
       }
       case 'stop':
         if (!this.#daemons[event.daemon].isRunning) return;
-        this.#witness.noteStop(event.daemon, now);
-        this.#witness.noteInterruption(event.daemon, now);
+        this.#witness.recordStop(event.daemon, now);
+        this.#witness.recordInterruption(event.daemon, now);
         this.#daemons[event.daemon].stop();
         return;
       case 'kill':
-        this.#witness.noteFault(now, now + STARTUP);
-        this.#witness.noteInterruption(event.daemon, now);
+        this.#witness.recordFault(now, now + STARTUP);
+        this.#witness.recordInterruption(event.daemon, now);
         this.#daemons[event.daemon].kill();
         return;
       case 'freeze':
-        this.#witness.noteFault(now, now + event.lasts);
-        this.#witness.noteInterruption(event.daemon, now);
+        this.#witness.recordFault(now, now + event.lasts);
+        this.#witness.recordInterruption(event.daemon, now);
         this.#daemons[event.daemon].freeze(event.lasts);
         return;
       case 'configure':
@@ -243,7 +243,7 @@
 
   #heal(lasts: number, end: () => void): void {
     const now = this.#now();
-    this.#witness.noteFault(now, now + lasts);
+    this.#witness.recordFault(now, now + lasts);
     setTimeout(end, lasts);
   }
 
@@ -258,7 +258,7 @@
     target.healthDraining = '1';
     setTimeout(() => {
       this.#store.put(entry, text.replace('"ready"', '"draining"'));
-      this.#witness.noteDrain(target.incarnation, this.#now());
+      this.#witness.recordDrain(target.incarnation, this.#now());
     }, toldAfter);
     this.#places[index] = await this.#openPlace(service);
     setTimeout(
--- a/src/standin/kv-server.ts
+++ b/src/standin/kv-server.ts
@@ -50,7 +50,7 @@
 }
 
 /** The stand-in. */
-export class KvStandin {
+export class KvServer {
   /** What it holds, and what goes wrong with every call. */
   readonly store: Store;
 
--- a/src/standin/site.ts
+++ b/src/standin/site.ts
@@ -4,7 +4,7 @@
 import { type Address, formatAddress } from '../kernel/index.js';
 
 /** One rule of a configuration. */
-export interface RuleDraft {
+export interface RuleOptions {
   readonly prefix: string;
   readonly kind?: 'safe' | 'unsafe' | 'upload';
   readonly service?: string;
@@ -19,7 +19,7 @@
 export const HOST = 'test.example';
 
 /** What a configuration says of its services besides their names. */
-export interface ServiceDraft {
+export interface ServiceOptions {
   /** Requests a second that a cold target bears; none is named unless given. */
   readonly coldRate?: unknown;
 }
@@ -27,8 +27,8 @@
 /** Writes a configuration as the operator would. */
 export function writeConfiguration(
   version: number,
-  rules: readonly RuleDraft[],
-  { coldRate }: ServiceDraft = {},
+  rules: readonly RuleOptions[],
+  { coldRate }: ServiceOptions = {},
 ): string {
   const services = ['alpha', 'beta'];
   return JSON.stringify({
@@ -63,7 +63,7 @@
 }
 
 /** What a target's entry says. */
-export interface TargetDraft {
+export interface TargetRecordOptions {
   readonly service?: string;
   readonly state?: string;
   readonly domain?: string;
@@ -75,7 +75,7 @@
 }
 
 /** Writes a target's entry as the target would. */
-export function writeTarget(address: Address, draft: TargetDraft = {}): string {
+export function writeTarget(address: Address, draft: TargetRecordOptions = {}): string {
   const { service = 'alpha', state = 'ready', domain = 'd1', version = 'v1' } = draft;
   const { seq = 1, cold = 0, born = 0 } = draft;
   return JSON.stringify({
@@ -90,7 +90,7 @@
 export type Behaviour = (request: IncomingMessage, response: ServerResponse) => void;
 
 /** A target that counts what it runs. */
-export class SiteTarget {
+export class RecordingTarget {
   /** Identifiers of the requests that it ran, in order. */
   readonly ran: string[] = [];
 
@@ -114,7 +114,7 @@
   coldLeft: number | undefined;
 
   /** What it says in answers of the rate that it takes; says nothing unless set. */
-  rate: string | string[] | undefined;
+  advertisedRate: string | string[] | undefined;
 
   /** What it says of draining in answers to calls, and in health answers; says nothing unless set. */
   draining: string | undefined;
@@ -179,7 +179,7 @@
     response.writeHead(200, {
       ...{ 'Attempt-Id': request.headers['attempt-id'], 'Server-Signature': 'sig.1' },
       ...{ 'Server-Load': `0,0,4,${this.slowdown}`, 'Content-Length': Buffer.byteLength(body) },
-      ...(this.rate === undefined ? {} : { 'Server-Limit': this.rate }),
+      ...(this.advertisedRate === undefined ? {} : { 'Server-Limit': this.advertisedRate }),
       ...this.#describeDraining(),
     });
     response.end(body);
--- a/src/standin/target.ts
+++ b/src/standin/target.ts
@@ -4,7 +4,7 @@
  */
 import http, { type IncomingMessage, type ServerResponse } from 'node:http';
 import type { Address, Random } from '../kernel/index.js';
-import { Pace } from './pace.js';
+import { Pace } from './work-simulator.js';
 
 /** A fault of a target. */
 export type TargetFault =
--- a/test/backoff.test.ts
+++ b/test/backoff.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import { pause } from '../src/demo/index.js';
 import { Availability } from '../src/balance/index.js';
-import type { SiteTarget } from '../src/standin/index.js';
+import type { RecordingTarget } from '../src/standin/index.js';
 import { type CallerReply, Site, sendTo } from './helpers/gateways.js';
 
 const SECOND = 1000;
@@ -28,12 +28,12 @@
 // Guards against sending more to a target that has rejected a request and asked for some seconds without any.
 describe('a target that asks to be left alone for a time', () => {
   let site: Site;
-  let target: SiteTarget;
-  let others: SiteTarget[];
+  let target: RecordingTarget;
+  let others: RecordingTarget[];
   let arrivals: number[];
   let ips: string[];
   /** How it answers the next requests; well once there is nothing more. */
-  let rejections: ((response: Parameters<SiteTarget['reject']>[0]) => void)[];
+  let rejections: ((response: Parameters<RecordingTarget['reject']>[0]) => void)[];
 
   const startSite = async (besides: number, daemons = 1) => {
     site = await new Site().start([{ prefix: '/a/', attempts: 3 }]);
--- a/test/cold-targets.test.ts
+++ b/test/cold-targets.test.ts
@@ -8,7 +8,7 @@
 import { pause } from '../src/demo/index.js';
 import { type Random, createSeededRandom } from '../src/kernel/index.js';
 import { COLD_OVERSHOOT, COLD_SLACK, Site, sendTo } from './helpers/gateways.js';
-import type { SiteTarget } from '../src/standin/index.js';
+import type { RecordingTarget } from '../src/standin/index.js';
 
 const RULES = [{ prefix: '/a/', attempts: 1 }] as const;
 
@@ -19,7 +19,7 @@
 const SECOND = 1000;
 
 /** Notes when a target begins to run each request. */
-function watchArrivals(target: SiteTarget): readonly number[] {
+function watchArrivals(target: RecordingTarget): readonly number[] {
   const arrivals: number[] = [];
   target.behaviour = (request, response) => {
     arrivals.push(performance.now());
@@ -51,7 +51,7 @@
 
 describe('a cold target', () => {
   let site: Site;
-  let cold: SiteTarget;
+  let cold: RecordingTarget;
   let arrivals: readonly number[];
   beforeEach(async () => {
     site = await new Site().start(RULES);
--- a/test/draining.test.ts
+++ b/test/draining.test.ts
@@ -4,7 +4,7 @@
 import { pause } from '../src/demo/index.js';
 import { createSystemClock } from '../src/kernel/index.js';
 import { KEYS } from '../src/platform/index.js';
-import type { SiteTarget } from '../src/standin/index.js';
+import type { RecordingTarget } from '../src/standin/index.js';
 import { waitUntil } from './helpers/fleet.js';
 import { type CallerReply, Site, sendTo } from './helpers/gateways.js';
 import { createTargets, createView } from './helpers/targets.js';
@@ -15,7 +15,7 @@
 const WORK = 10;
 
 /** Lets a target take its time, and notes when each request comes. */
-function watchArrivals(target: SiteTarget): readonly number[] {
+function watchArrivals(target: RecordingTarget): readonly number[] {
   const arrivals: number[] = [];
   target.behaviour = (request, response) => {
     arrivals.push(performance.now());
@@ -41,8 +41,8 @@
 // Guards against sending requests to a target whose answers say that it leaves, while its entry says that it is ready.
 describe('a target whose answers say that it drains', () => {
   let site: Site;
-  let target: SiteTarget;
-  let others: SiteTarget[];
+  let target: RecordingTarget;
+  let others: RecordingTarget[];
   let arrivals: readonly number[];
   let ips: string[];
 
@@ -83,7 +83,7 @@
   });
 
   for (const [what, answer] of [
-    ['a rejection', (it: SiteTarget) => (_: unknown, response: never) => it.reject(response)],
+    ['a rejection', (it: RecordingTarget) => (_: unknown, response: never) => it.reject(response)],
     [
       'a failure',
       () => (_: unknown, response: { writeHead(...it: unknown[]): { end(): void } }) =>
@@ -93,7 +93,7 @@
     it(`gets none after ${what} that says so`, async () => {
       await startSite(1, 2);
       target.draining = '1';
-      const behave = answer(target) as NonNullable<SiteTarget['behaviour']>;
+      const behave = answer(target) as NonNullable<RecordingTarget['behaviour']>;
       const times: number[] = [];
       target.behaviour = (request, response) => {
         times.push(performance.now());
--- a/test/evacuation.test.ts
+++ b/test/evacuation.test.ts
@@ -7,7 +7,7 @@
 import { pause } from '../src/demo/index.js';
 import { waitUntil } from './helpers/fleet.js';
 import { Site, sendTo } from './helpers/gateways.js';
-import type { SiteTarget } from '../src/standin/index.js';
+import type { RecordingTarget } from '../src/standin/index.js';
 
 const RULES = [{ prefix: '/a/', timeout: 8000 }];
 
@@ -18,8 +18,8 @@
 
 describe('a failure domain that is evacuated', () => {
   let site: Site;
-  let here: SiteTarget;
-  let there: SiteTarget;
+  let here: RecordingTarget;
+  let there: RecordingTarget;
   beforeEach(async () => {
     site = await new Site().start(RULES);
     here = await site.addTarget('alpha', { domain: 'd1' });
--- a/test/gateway.test.ts
+++ b/test/gateway.test.ts
@@ -13,7 +13,7 @@
   askDirectory,
   sendTo,
 } from './helpers/gateways.js';
-import { type Behaviour, HOST, type SiteTarget, writeTarget } from '../src/standin/index.js';
+import { type Behaviour, HOST, type RecordingTarget, writeTarget } from '../src/standin/index.js';
 
 const RULES = [
   { prefix: '/a/' },
@@ -24,7 +24,7 @@
 ] as const;
 
 /** Makes only the first request that comes to any of the targets go wrong. */
-function breakFirst(targets: readonly SiteTarget[], behaviour: Behaviour): void {
+function breakFirst(targets: readonly RecordingTarget[], behaviour: Behaviour): void {
   let isSpoilt = false;
   for (const target of targets) {
     target.behaviour = (request, response) => {
--- a/test/helpers/gateways.ts
+++ b/test/helpers/gateways.ts
@@ -13,13 +13,13 @@
 } from '../../src/kernel/index.js';
 import { Gateway, checkGatewaySettings } from '../../src/gateway/index.js';
 import { KEYS, type KvStore, createKvStore, kvStoreService } from '../../src/platform/index.js';
-import { KvStandin } from '../../src/standin/index.js';
+import { KvServer } from '../../src/standin/index.js';
 import {
   HOST,
-  type RuleDraft,
-  type ServiceDraft,
-  SiteTarget,
-  type TargetDraft,
+  type RuleOptions,
+  type ServiceOptions,
+  RecordingTarget,
+  type TargetRecordOptions,
   writeConfiguration,
   writeTarget,
 } from '../../src/standin/index.js';
@@ -58,9 +58,9 @@
 
 /** A small installation: a store, targets, gateways. */
 export class Site {
-  readonly store = new KvStandin();
+  readonly store = new KvServer();
 
-  readonly targets: SiteTarget[] = [];
+  readonly targets: RecordingTarget[] = [];
 
   readonly gateways: { readonly ip: string; readonly gateway: Gateway }[] = [];
 
@@ -79,26 +79,26 @@
 
   #storeAddress = { host: '', port: 0 };
 
-  async start(rules: readonly RuleDraft[]): Promise<this> {
+  async start(rules: readonly RuleOptions[]): Promise<this> {
     this.#storeAddress = await this.store.start();
     this.configure(rules);
     return this;
   }
 
-  configure(rules: readonly RuleDraft[], services: ServiceDraft = {}): void {
+  configure(rules: readonly RuleOptions[], services: ServiceOptions = {}): void {
     this.#version += 3;
     this.store.put(KEYS.configuration, writeConfiguration(this.#version, rules, services));
   }
 
-  async addTarget(service = 'alpha', draft: TargetDraft = {}): Promise<SiteTarget> {
-    const target = await new SiteTarget(`i-${this.targets.length + 1}`).start();
+  async addTarget(service = 'alpha', draft: TargetRecordOptions = {}): Promise<RecordingTarget> {
+    const target = await new RecordingTarget(`i-${this.targets.length + 1}`).start();
     this.targets.push(target);
     this.putTarget(target, { service, ...draft });
     return target;
   }
 
   /** Writes a target's entry. */
-  putTarget(target: SiteTarget, draft: TargetDraft = {}): void {
+  putTarget(target: RecordingTarget, draft: TargetRecordOptions = {}): void {
     this.store.put(KEYS.targets + target.incarnation, writeTarget(target.address, draft));
   }
 
--- a/test/kv-store.test.ts
+++ b/test/kv-store.test.ts
@@ -1,14 +1,14 @@
 import { expect } from 'chai';
 import { type KvStore, createKvStore } from '../src/platform/index.js';
-import { type Fault, KvStandin } from '../src/standin/index.js';
+import { type Fault, KvServer } from '../src/standin/index.js';
 
 const TIMEOUT = 150;
 
 describe("the client of the users' store", () => {
-  let standin: KvStandin;
+  let standin: KvServer;
   let store: KvStore;
   beforeEach(async () => {
-    standin = new KvStandin();
+    standin = new KvServer();
     store = createKvStore(await standin.start(), TIMEOUT);
   });
   afterEach(() => {
--- a/test/lessons.test.ts
+++ b/test/lessons.test.ts
@@ -18,7 +18,7 @@
 } from '../src/kernel/index.js';
 import { KEYS, type KvStore, createKvStore } from '../src/platform/index.js';
 import { WindowBudget } from '../src/balance/index.js';
-import { KvStandin } from '../src/standin/index.js';
+import { KvServer } from '../src/standin/index.js';
 import { noopListener } from './helpers/listener.js';
 
 const LESSONS: LearnedState = {
@@ -66,7 +66,7 @@
   });
 
   describe('in the store', () => {
-    let standin: KvStandin;
+    let standin: KvServer;
     let store: KvStore;
     let ends: AbortController;
     const pause = (time: number) =>
@@ -75,7 +75,7 @@
       });
 
     beforeEach(async () => {
-      standin = new KvStandin();
+      standin = new KvServer();
       store = createKvStore(await standin.start(), 500);
       ends = new AbortController();
     });
--- a/test/overdue.test.ts
+++ b/test/overdue.test.ts
@@ -22,8 +22,8 @@
 import { DAEMON_PORTS, DaemonProcess } from '../src/soak/daemon-process.js';
 import {
   HOST,
-  KvStandin,
-  SiteTarget,
+  KvServer,
+  RecordingTarget,
   writeConfiguration,
   writeTarget,
 } from '../src/standin/index.js';
@@ -56,9 +56,9 @@
 
 /** Callers, one daemon on a slow machine, and targets with room for all. */
 class SlowSite {
-  readonly store = new KvStandin();
+  readonly store = new KvServer();
 
-  readonly targets: SiteTarget[] = [];
+  readonly targets: RecordingTarget[] = [];
 
   readonly seen: Seen[] = [];
 
@@ -88,7 +88,7 @@
       {
         ...{ ip: IP, domain: 'd1', seeds: [IP], store, directory: this.#directory },
         cores: SHARE,
-        promises: [
+        promiseSettings: [
           ...['grace = 6', 'answer_ttl = 5', 'retry_ratio = 0.2', 'retry_window = 10'],
           ...['retry_slack = 20', 'probes_per_second = 2'],
         ],
@@ -104,7 +104,7 @@
   }
 
   async #addTarget(name: string): Promise<void> {
-    const target = await new SiteTarget(name).start();
+    const target = await new RecordingTarget(name).start();
     target.behaviour = (request, response) => {
       const left = this.#left.get(String(request.headers['attempt-id']));
       if (left !== undefined) this.afterLeaving.push(performance.now() - left);
--- a/test/platform.test.ts
+++ b/test/platform.test.ts
@@ -7,7 +7,7 @@
   createKvStore,
   createMeteredPlatform,
 } from '../src/platform/index.js';
-import { type Fault, KvStandin, Store, createStorePlatform } from '../src/standin/index.js';
+import { type Fault, KvServer, Store, createStorePlatform } from '../src/standin/index.js';
 
 interface Fixture {
   readonly platform: Platform;
@@ -19,7 +19,7 @@
 const TIMEOUT = 150;
 
 async function openHttp(): Promise<Fixture> {
-  const standin = new KvStandin(clock);
+  const standin = new KvServer(clock);
   const platform = createKvPlatform(createKvStore(await standin.start(), TIMEOUT, 16));
   const close = () => {
     platform.close();
--- a/test/poison.test.ts
+++ b/test/poison.test.ts
@@ -18,7 +18,7 @@
 import { TargetSet } from '../src/gateway/targets/target-set.js';
 import { ManualClock, createSeededRandom } from '../src/kernel/index.js';
 import { KEYS, type TargetRecord } from '../src/platform/index.js';
-import { type Behaviour, type SiteTarget, writeTarget } from '../src/standin/index.js';
+import { type Behaviour, type RecordingTarget, writeTarget } from '../src/standin/index.js';
 import { FleetView } from '../src/view/index.js';
 import { waitUntil } from './helpers/fleet.js';
 import { type CallerReply, Site, sendTo } from './helpers/gateways.js';
@@ -47,7 +47,7 @@
   };
 
   /** Ends a target; it is back after a while, under its name, as a later start. */
-  const crash = (target: SiteTarget) => {
+  const crash = (target: RecordingTarget) => {
     target.crash();
     const life = Date.now();
     later(AWAY_TIME, () => {
--- a/test/rate-limit.test.ts
+++ b/test/rate-limit.test.ts
@@ -7,7 +7,7 @@
  */
 import { expect } from 'chai';
 import { pause } from '../src/demo/index.js';
-import type { SiteTarget } from '../src/standin/index.js';
+import type { RecordingTarget } from '../src/standin/index.js';
 import { type CallerReply, Site, sendTo } from './helpers/gateways.js';
 
 const RULES = [{ prefix: '/a/', attempts: 3 }] as const;
@@ -30,7 +30,7 @@
 const WORK = 10;
 
 /** Lets a target take its time, and notes when each request comes. */
-function watchArrivals(target: SiteTarget): readonly number[] {
+function watchArrivals(target: RecordingTarget): readonly number[] {
   const arrivals: number[] = [];
   target.behaviour = (request, response) => {
     arrivals.push(performance.now());
@@ -68,7 +68,7 @@
 
 describe('a target that names the rate it takes', () => {
   let site: Site;
-  let target: SiteTarget;
+  let target: RecordingTarget;
   let arrivals: readonly number[];
   let ips: readonly string[];
 
@@ -98,7 +98,7 @@
   afterEach(() => site.stop());
 
   describe('beside others', () => {
-    let others: SiteTarget[];
+    let others: RecordingTarget[];
     beforeEach(async () => {
       others = [await site.addTarget(), await site.addTarget()];
       for (const other of others) watchArrivals(other);
@@ -107,7 +107,7 @@
 
     for (const rate of [0.5, 3.9, 10]) {
       it(`gets ${rate} a second from all daemons together`, async () => {
-        target.rate = String(rate);
+        target.advertisedRate = String(rate);
         // Nothing but its rate keeps calls from going to it.
         for (const other of others) other.slowdown = 700;
         await sendFor(ips, SECOND);
@@ -127,7 +127,7 @@
           response.writeHead(503, { 'Not-Executed': '1' }).end();
         };
       }
-      target.rate = '4';
+      target.advertisedRate = '4';
       await sendFor(ips, SECOND);
       const since = performance.now();
       const replies = await sendFor(ips, SPAN + SECOND);
@@ -144,7 +144,7 @@
           response.writeHead(503, { 'Not-Executed': '1' }).end();
         };
       }
-      target.rate = '0';
+      target.advertisedRate = '0';
       await sendFor(ips, SECOND);
       const replies = await sendFor(ips, SPAN + SECOND, { rest: 400 });
       const longest = Math.max(...replies.map(({ took }) => took));
@@ -158,7 +158,7 @@
           setTimeout(() => other.answer(request, response), 600);
         };
       }
-      target.rate = '2';
+      target.advertisedRate = '2';
       await sendFor(ips, SECOND);
       const since = performance.now();
       await sendFor(ips, SPAN + SECOND);
@@ -166,7 +166,7 @@
     }).timeout(20_000);
 
     it('gets no more from a daemon that has just started', async () => {
-      target.rate = '3';
+      target.advertisedRate = '3';
       await sendFor(ips, SECOND);
       const started = await site.addGateway([ips[0]]);
       const sending = sendFor([started], SPAN + SECOND);
@@ -177,12 +177,12 @@
     }).timeout(20_000);
 
     it('gets its share again within two seconds once it names none, and not all at once', async () => {
-      target.rate = '2';
+      target.advertisedRate = '2';
       await sendFor(ips, 2 * SECOND);
       const limited = arrivals.length;
       await sendFor(ips, SECOND);
       expect(arrivals.length - limited, 'while it is limited').to.be.at.most(5);
-      target.rate = undefined;
+      target.advertisedRate = undefined;
       const until = performance.now();
       await sendFor(ips, 4 * SECOND);
       const count = (from: number, to: number) =>
@@ -199,7 +199,7 @@
     beforeEach(() => startDaemons(2));
 
     it('gets what it takes, and other callers are told so at once', async () => {
-      target.rate = '5';
+      target.advertisedRate = '5';
       await sendFor(ips, SECOND);
       const since = performance.now();
       const replies = await sendFor(ips, SPAN + SECOND);
@@ -228,7 +228,7 @@
         if (count % 10 === 0) target.answer(request, response);
         else response.writeHead(500, { 'Attempt-Id': request.headers['attempt-id'] }).end();
       };
-      target.rate = '2';
+      target.advertisedRate = '2';
       await sendFor(ips, SECOND);
       const since = performance.now();
       await sendFor(ips, 2 * SPAN);
@@ -236,12 +236,12 @@
     }).timeout(20_000);
 
     it('of nothing is still asked now and then, so that its end is heard', async () => {
-      target.rate = '0';
+      target.advertisedRate = '0';
       await sendFor(ips, SECOND);
       const since = performance.now();
       await sendFor(ips, SPAN);
       expect(countBusiest(arrivals, since)).to.be.at.most(computeMost(0));
-      target.rate = undefined;
+      target.advertisedRate = undefined;
       await sendFor(ips, 3 * SPAN);
       expect((await sendTo(ips[0])).status).to.equal(200);
     }).timeout(30_000);
@@ -253,7 +253,7 @@
     const words = ['-1', 'NaN', 'Infinity', '0x10', '1e3', '', 'many', ['3', '4']];
     for (const word of words) {
       it(`takes any number: ${JSON.stringify(word)}`, async () => {
-        target.rate = word;
+        target.advertisedRate = word;
         const before = arrivals.length;
         const replies = await sendFor(ips, SECOND);
         expect(arrivals.length - before).to.be.greaterThan(20);
--- a/test/regions.test.ts
+++ b/test/regions.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import { pause } from '../src/demo/index.js';
 import { Site, askDirectory, callersPort, sendTo } from './helpers/gateways.js';
-import type { SiteTarget } from '../src/standin/index.js';
+import type { RecordingTarget } from '../src/standin/index.js';
 
 const RULES = [
   { prefix: '/a/' },
@@ -15,8 +15,8 @@
 
 describe('two regions', () => {
   let site: Site;
-  let here: SiteTarget;
-  let there: SiteTarget;
+  let here: RecordingTarget;
+  let there: RecordingTarget;
   beforeEach(async () => {
     site = await new Site().start(RULES);
     here = await site.addTarget('alpha', { domain: 'd1' });
--- a/test/soak.test.ts
+++ b/test/soak.test.ts
@@ -3,39 +3,39 @@
 import { expect } from 'chai';
 import { createSeededRandom } from '../src/kernel/index.js';
 import {
-  type Agreement,
-  type Break,
+  type PromisedLimits,
+  type Violation,
   Link,
   type LinkFault,
-  Witness,
+  SoakChecker,
   composeBody,
   drawPlan,
   runSoak,
 } from '../src/soak/index.js';
 
-const AGREEMENT: Agreement = {
+const AGREEMENT: PromisedLimits = {
   ...{ drainTime: 2000, applyTime: 2000, probesPerSecond: 10 },
   ...{ retryRatio: 0.2, retryWindow: 10_000, retrySlack: 2 },
 };
 
 /** Promises in which no time is counted hold however busy the machine is. */
-const TIMELESS: readonly Break['promise'][] = [
+const TIMELESS: readonly Violation['promise'][] = [
   ...(['own and whole answers', 'true refusals', 'at most once'] as const),
 ];
 
 describe('the checks of a soak', () => {
-  let witness: Witness;
+  let witness: SoakChecker;
   beforeEach(() => {
-    witness = new Witness(AGREEMENT);
+    witness = new SoakChecker(AGREEMENT);
   });
 
   const noteTry = (id: string, sentAt: number, isRepeatable = true) =>
-    witness.noteTry({ id, isRepeatable, daemon: 0, sentAt });
+    witness.recordRequest({ id, isRepeatable, daemon: 0, sentAt });
   const noteRun = (id: string, at: number, service = 'alpha', saysDraining = false) =>
-    witness.noteRun({ id, target: 'i-1', service, at, saysDraining });
+    witness.recordRun({ id, target: 'i-1', service, at, saysDraining });
   const noteAnswer = (id: string, status: number, body = composeBody(id)) =>
-    witness.noteEnd(id, { kind: 'answered', status, body, isSigned: true }, 100);
-  const listPromises = () => witness.listBreaks().map(({ promise }) => promise);
+    witness.recordOutcome(id, { kind: 'answered', status, body, isSigned: true }, 100);
+  const listPromises = () => witness.listViolations().map(({ promise }) => promise);
 
   it("fire on another request's answer, and on a part of one", () => {
     for (const [id, body] of [
@@ -66,12 +66,12 @@
     noteTry('c', 2200);
     noteRun('c', 2210);
     expect(listPromises()).to.deep.equal(['stated drains']);
-    witness.noteInterruption(0, 1000);
+    witness.recordInterruption(0, 1000);
     expect(listPromises()).to.deep.equal([]);
   });
   it('fire on more than two requests within a back-off', () => {
     noteTry('a', 0);
-    witness.noteRejection({ id: 'a', target: 'i-1', at: 10, backoff: 3000 });
+    witness.recordRejection({ id: 'a', target: 'i-1', at: 10, backoff: 3000 });
     for (const [id, at] of [
       ['b', 100],
       ['c', 1000],
@@ -94,29 +94,29 @@
     expect(listPromises()).to.deep.equal(['at most once']);
   });
   it('fire on work for a target that left long ago, but not in an outage', () => {
-    witness.noteDrain('i-1', 10_000);
+    witness.recordDrain('i-1', 10_000);
     noteTry('a', 12_000);
     noteRun('a', 12_100);
     expect(listPromises()).to.deep.equal([]);
     noteTry('b', 13_000);
     noteRun('b', 13_000);
     expect(listPromises()).to.deep.equal(['leaving targets']);
-    witness.noteFault(9000, 12_500);
+    witness.recordFault(9000, 12_500);
     expect(listPromises()).to.deep.equal([]);
   });
   it('fire on a request that a planned stop cuts', () => {
     noteTry('before', 900);
-    witness.noteStop(0, 1000);
-    witness.noteEnd('before', { kind: 'cut' }, 1500);
+    witness.recordStop(0, 1000);
+    witness.recordOutcome('before', { kind: 'cut' }, 1500);
     noteTry('crossing', 2900);
-    witness.noteEnd('crossing', { kind: 'cut' }, 2950);
+    witness.recordOutcome('crossing', { kind: 'cut' }, 2950);
     noteTry('elsewhere', 900);
-    witness.noteEnd('elsewhere', { kind: 'left' }, 1500);
+    witness.recordOutcome('elsewhere', { kind: 'left' }, 1500);
     expect(listPromises()).to.deep.equal(['planned stops']);
   });
   it('fire on a configuration that is late, or comes back', () => {
-    witness.noteConfigured('alpha', 0);
-    witness.noteConfigured('beta', 10_000);
+    witness.recordConfiguration('alpha', 0);
+    witness.recordConfiguration('beta', 10_000);
     noteTry('moving-1', 11_900);
     noteRun('moving-1', 12_000, 'alpha');
     noteTry('moving-2', 12_000);
@@ -127,9 +127,9 @@
     expect(listPromises()).to.deep.equal(['configuration in force']);
   });
   it('fire on more probes than agreed', () => {
-    for (let at = 0; at < 5000; at += 101) witness.noteProbe('i-1', at);
+    for (let at = 0; at < 5000; at += 101) witness.recordProbe('i-1', at);
     expect(listPromises()).to.deep.equal([]);
-    for (let at = 0; at < 5000; at += 90) witness.noteProbe('i-2', at);
+    for (let at = 0; at < 5000; at += 90) witness.recordProbe('i-2', at);
     expect(listPromises()).to.deep.equal(['probes']);
   });
   it('fire on more repeats than agreed in some window', () => {
@@ -191,10 +191,11 @@
 });
 
 describe('a soak', () => {
-  const size = { daemons: 3, targets: 4, length: 6000 };
+  const size = { daemons: 3, targets: 4, duration: 6000 };
 
   it('has one plan for one seed', () => {
-    const draw = (seed: number) => drawPlan(createSeededRandom(seed), { ...size, length: 60_000 });
+    const draw = (seed: number) =>
+      drawPlan(createSeededRandom(seed), { ...size, duration: 60_000 });
     expect(draw(5)).to.deep.equal(draw(5));
     expect(draw(5)).to.not.deep.equal(draw(6));
     expect(new Set(draw(5).map(({ kind }) => kind)).size).to.be.at.least(6);
