--- a/src/standin/kv-server.ts
+++ b/src/standin/kv-server.ts
@@ -16,20 +16,20 @@
 }
 
 /** What is answered: a status and a body, or that the connection is reset, or nothing ever. */
-type Answer = readonly [status: number, body: object] | 'reset' | 'nothing';
+type Reply = readonly [status: number, body: object] | 'reset' | 'nothing';
 
 /** Items in a page; the users' store gives some hundreds. */
-const PAGE = 50;
+const PAGE_ITEMS = 50;
 
-const LONGEST_WATCH = 30_000;
-const LEAST_TTL = 1000;
+const MAX_WATCH_WAIT_MS = 30_000;
+const MIN_LEASE_TTL_MS = 1000;
 
 /** Keys that only the operators and the targets write. */
-const FOREIGN = ['op/', 'servers/'];
+const READ_ONLY_PREFIXES = ['op/', 'servers/'];
 
-const BUSY: Answer = [503, {}];
-const MANY: Answer = [429, {}];
-const UNKNOWN: Answer = [404, {}];
+const UNAVAILABLE: Reply = [503, {}];
+const TOO_MANY_REQUESTS: Reply = [429, {}];
+const NOT_FOUND: Reply = [404, {}];
 
 function encodeItem(item: StoreItem): object {
   return {
@@ -59,7 +59,7 @@
   #address: Address = { host: '127.0.0.1', port: 0 };
 
   readonly #server = http.createServer((request, response) => {
-    this.#take(request, response).catch(() => response.destroy());
+    this.#handleRequest(request, response).catch(() => response.destroy());
   });
 
   /** Calls received, by path. */
@@ -132,15 +132,15 @@
     this.store.compact();
   }
 
-  async #take(request: IncomingMessage, response: ServerResponse): Promise<void> {
+  async #handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const url = new URL(request.url ?? '/', 'http://store');
     this.calls[url.pathname] = (this.calls[url.pathname] ?? 0) + 1;
     const closed = new AbortController();
     response.on('close', () => closed.abort());
     const body = await readBody(request);
     const answer = url.pathname.startsWith('/control/')
-      ? this.#control(request.method ?? 'GET', url, body)
-      : await this.#answer(request.method ?? 'GET', url, { body, signal: closed.signal });
+      ? this.#handleControl(request.method ?? 'GET', url, body)
+      : await this.#serveUnderFault(request.method ?? 'GET', url, { body, signal: closed.signal });
     if (answer === 'nothing' || response.destroyed) return;
     if (answer === 'reset') {
       request.socket.destroy();
@@ -151,7 +151,7 @@
   }
 
   /** For demos and tests, which may run in another process. */
-  #control(method: string, url: URL, body: string): Answer {
+  #handleControl(method: string, url: URL, body: string): Reply {
     if (url.pathname === '/control/counts') return [200, this.store.counts];
     if (url.pathname === '/control/fault') {
       const fault = JSON.parse(body) as Fault;
@@ -162,11 +162,11 @@
     return [200, {}];
   }
 
-  async #answer(
+  async #serveUnderFault(
     method: string,
     url: URL,
     call: { readonly body: string; readonly signal: AbortSignal },
-  ): Promise<Answer> {
+  ): Promise<Reply> {
     const { fault } = this;
     switch (fault.kind) {
       case 'down':
@@ -174,9 +174,9 @@
       case 'silent':
         return 'nothing';
       case 'busy':
-        return BUSY;
+        return UNAVAILABLE;
       case 'many':
-        return MANY;
+        return TOO_MANY_REQUESTS;
       case 'slow':
         await this.clock.sleep(fault.delay);
         return this.#serve(method, url, call);
@@ -200,15 +200,15 @@
     method: string,
     url: URL,
     call: { readonly body: string; readonly signal: AbortSignal },
-  ): Answer | Promise<Answer> {
+  ): Reply | Promise<Reply> {
     if (method !== 'GET') return this.#write(method, url, call.body);
     const query = url.searchParams;
     const isStale = query.get('allow_stale') === '1';
-    if (!isStale && !this.store.admit('read')) return MANY;
+    if (!isStale && !this.store.admit('read')) return TOO_MANY_REQUESTS;
     switch (url.pathname) {
       case '/kv-key': {
         const result = this.store.read(query.get('key_file') ?? '', isStale);
-        if (result.kind !== 'found') return UNKNOWN;
+        if (result.kind !== 'found') return NOT_FOUND;
         const item = encodeItem(result.item as StoreItem);
         return [200, { ...item, store_revision: this.store.version }];
       }
@@ -217,22 +217,22 @@
       case '/kv-watch':
         return this.#serveWatch(query, call.signal);
       default:
-        return UNKNOWN;
+        return NOT_FOUND;
     }
   }
 
-  #serveRange(query: URLSearchParams, isStale: boolean): Answer {
+  #serveRange(query: URLSearchParams, isStale: boolean): Reply {
     const after = query.get('after') ?? '';
     const { items, version } = this.store.range(query.get('path_prefix') ?? '', isStale);
     const found = items.filter(({ key }) => key > after);
-    const page = found.slice(0, PAGE).map(encodeItem);
-    return [200, { items: page, truncated: found.length > PAGE, store_revision: version }];
+    const page = found.slice(0, PAGE_ITEMS).map(encodeItem);
+    return [200, { items: page, truncated: found.length > PAGE_ITEMS, store_revision: version }];
   }
 
-  async #serveWatch(query: URLSearchParams, signal: AbortSignal): Promise<Answer> {
+  async #serveWatch(query: URLSearchParams, signal: AbortSignal): Promise<Reply> {
     const prefix = query.get('path_prefix') ?? '';
     const after = Number(query.get('after') ?? 0);
-    const wait = Math.min(LONGEST_WATCH, Number(query.get('wait_ms') ?? 0));
+    const wait = Math.min(MAX_WATCH_WAIT_MS, Number(query.get('wait_ms') ?? 0));
     const result = await this.store.watch(prefix, after, { wait, signal });
     const changes = result.kind === 'changed' ? this.store.listChanges(prefix, after) : [];
     if (result.kind === 'gap' || changes === undefined) return [410, {}];
@@ -240,27 +240,30 @@
     return [200, { events: changes.map(encodeChange), store_revision: this.store.version }];
   }
 
-  #write(method: string, url: URL, body: string): Answer {
+  #write(method: string, url: URL, body: string): Reply {
     const [, call, id = ''] = url.pathname.split('/');
     const isRenewal = call === 'kv-keep';
-    if (!this.store.admit(isRenewal ? 'renewal' : 'write')) return MANY;
+    if (!this.store.admit(isRenewal ? 'renewal' : 'write')) return TOO_MANY_REQUESTS;
     if (call === 'kv-txn') return this.#commit(JSON.parse(body) as Txn);
     if (call === 'kv-lease-end' && method === 'DELETE') {
       this.store.lapseLease(id);
       return [200, {}];
     }
-    if (call !== 'kv-lease' && !isRenewal) return UNKNOWN;
+    if (call !== 'kv-lease' && !isRenewal) return NOT_FOUND;
     const lease = isRenewal
       ? this.store.renewLease(id)
-      : this.store.grantLease(Math.max(LEAST_TTL, (JSON.parse(body) as { ttl_ms: number }).ttl_ms));
-    if (lease.kind !== 'held') return UNKNOWN;
+      : this.store.grantLease(
+          Math.max(MIN_LEASE_TTL_MS, (JSON.parse(body) as { ttl_ms: number }).ttl_ms),
+        );
+    if (lease.kind !== 'held') return NOT_FOUND;
     return [200, { lease: Number(lease.lease), ttl_ms: lease.ttl }];
   }
 
   /** Does all or nothing: conditions are checked before anything is written. */
-  #commit(txn: Txn): Answer {
+  #commit(txn: Txn): Reply {
     const keys = [...txn.set_keys.map(({ key_file: key }) => key), ...txn.remove];
-    if (keys.some((key) => FOREIGN.some((prefix) => key.startsWith(prefix)))) return [403, {}];
+    if (keys.some((key) => READ_ONLY_PREFIXES.some((prefix) => key.startsWith(prefix))))
+      return [403, {}];
     const find = (key: string) => this.store.read(key);
     const isMet = txn.expected_revision.every(({ key_file: key, revision }) => {
       const result = find(key);
@@ -272,14 +275,14 @@
       return [412, { items: items.map((item) => encodeItem(item as StoreItem)) }];
     }
     for (const { key_file: key, value, lease } of txn.set_keys) {
-      const result = this.#set(key, value, lease);
+      const result = this.#writeItem(key, value, lease);
       if (result.kind !== 'written') return [result.kind === 'refused' ? 404 : 412, { items: [] }];
     }
     for (const key of txn.remove) this.store.drop(key);
     return [200, { revision: this.store.version }];
   }
 
-  #set(key: string, value: string, lease: number): WriteResult {
+  #writeItem(key: string, value: string, lease: number): WriteResult {
     const known = this.store.read(key);
     const expect = known.kind === 'found' ? known.item.version : 0;
     const text = Buffer.from(value, 'base64').toString('utf8');
--- a/src/standin/site.ts
+++ b/src/standin/site.ts
@@ -129,7 +129,7 @@
   readonly #sockets = new Set<Socket>();
 
   readonly #server = http.createServer((request, response) => {
-    this.#take(request, response).catch(() => response.destroy());
+    this.#handleRequest(request, response).catch(() => response.destroy());
   });
 
   address: Address = { host: '127.0.0.1', port: 0 };
@@ -198,7 +198,7 @@
     return this.draining === undefined ? {} : { 'Server-Leaving': this.draining };
   }
 
-  async #take(request: IncomingMessage, response: ServerResponse): Promise<void> {
+  async #handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
     if (request.url === '/health') {
       this.probes += 1;
       this.onProbe?.();
--- a/src/standin/store.ts
+++ b/src/standin/store.ts
@@ -54,10 +54,10 @@
 const DEFAULT_RATES: StoreRates = { writes: 400, reads: 2000 };
 
 /** What a renewal of a lease takes of the rate of reads. */
-const RENEWAL_PRICE = 0.1;
+const RENEWAL_READ_TOKENS = 0.1;
 
 /** Changes that are remembered for watches, at least. */
-const HISTORY = 5000;
+const MIN_HISTORY_CHANGES = 5000;
 
 /** An item with what the store keeps besides. */
 export interface StoreItem extends StoredValue {
@@ -73,7 +73,7 @@
   readonly item: StoreItem | undefined;
 }
 
-interface Waiter {
+interface Watcher {
   readonly prefix: string;
   readonly resolve: (result: WatchResult) => void;
 }
@@ -96,7 +96,7 @@
 
   readonly #leases = new Map<string, Lease>();
 
-  #waiters: readonly Waiter[] = [];
+  #watchers: readonly Watcher[] = [];
 
   #version = 0;
 
@@ -130,14 +130,14 @@
     this.#staleItems = new Map(this.#items);
     this.fault = fault;
     if (fault.kind === 'close-watches' || fault.kind === 'down') {
-      this.#settleWaiters(() => true, { kind: 'unavailable', reason: 'closed' });
+      this.#settleWatchers(() => true, { kind: 'unavailable', reason: 'closed' });
     }
   }
 
   /** Takes one token of the rate for reads or writes; false when the rate is exceeded. */
   admit(kind: 'read' | 'write' | 'renewal'): boolean {
     const bucket = kind === 'write' ? this.#writes : this.#reads;
-    if (!bucket.take(kind === 'renewal' ? RENEWAL_PRICE : 1)) {
+    if (!bucket.take(kind === 'renewal' ? RENEWAL_READ_TOKENS : 1)) {
       this.counts.refused += 1;
       return false;
     }
@@ -146,7 +146,7 @@
   }
 
   read(key: string, isStale = false): ReadResult {
-    const item = this.#see(isStale).get(key);
+    const item = this.#getItems(isStale).get(key);
     return item === undefined ? { kind: 'absent' } : { kind: 'found', item };
   }
 
@@ -155,7 +155,7 @@
     prefix: string,
     isStale = false,
   ): { readonly items: readonly StoreItem[]; readonly version: number } {
-    const items = [...this.#see(isStale || prefix === KEYS.vms).values()]
+    const items = [...this.#getItems(isStale || prefix === KEYS.vms).values()]
       .filter((item) => item.key.startsWith(prefix))
       .sort((a, b) => (a.key < b.key ? -1 : 1));
     return { items, version: this.#version };
@@ -186,7 +186,7 @@
     const createdAt = this.#items.get(key)?.createdAt ?? version;
     const item = { key, value, version, createdAt, lease };
     this.#items.set(key, item);
-    this.#record({ key, version, item });
+    this.#recordChange({ key, version, item });
     return version;
   }
 
@@ -194,13 +194,13 @@
   drop(key: string): void {
     this.#version += 1;
     if (!this.#items.delete(key)) return;
-    this.#record({ key, version: this.#version, item: undefined });
+    this.#recordChange({ key, version: this.#version, item: undefined });
   }
 
   grantLease(ttl: number): LeaseResult {
     this.#leaseCount += 1;
     const lease = String(this.#leaseCount);
-    this.#keepLease(lease, ttl);
+    this.#setLease(lease, ttl);
     return { kind: 'held', lease, ttl };
   }
 
@@ -208,7 +208,7 @@
     const held = this.#leases.get(lease);
     if (held === undefined) return { kind: 'lapsed' };
     held.timer.cancel();
-    this.#keepLease(lease, held.ttl);
+    this.#setLease(lease, held.ttl);
     return { kind: 'held', lease, ttl: held.ttl };
   }
 
@@ -251,17 +251,17 @@
     }
     return new Promise((resolve) => {
       const timer = this.clock.schedule(wait, () => waiter.resolve({ kind: 'quiet' }));
-      const waiter: Waiter = {
+      const waiter: Watcher = {
         prefix,
         resolve: (result) => {
           timer.cancel();
-          this.#waiters = this.#waiters.filter((other) => other !== waiter);
-          this.counts.watching = this.#waiters.length;
+          this.#watchers = this.#watchers.filter((other) => other !== waiter);
+          this.counts.watching = this.#watchers.length;
           resolve(result);
         },
       };
-      this.#waiters = [...this.#waiters, waiter];
-      this.counts.watching = this.#waiters.length;
+      this.#watchers = [...this.#watchers, waiter];
+      this.counts.watching = this.#watchers.length;
       signal.addEventListener('abort', () => waiter.resolve({ kind: 'quiet' }), { once: true });
     });
   }
@@ -280,44 +280,49 @@
     return this.range(KEYS.vms).items.map(({ value }) => JSON.parse(value) as Vm);
   }
 
-  #see(isStale: boolean): ReadonlyMap<string, StoreItem> {
+  #getItems(isStale: boolean): ReadonlyMap<string, StoreItem> {
     return isStale && this.fault.kind === 'stale' ? this.#staleItems : this.#items;
   }
 
-  #keepLease(lease: string, ttl: number): void {
+  #setLease(lease: string, ttl: number): void {
     const timer = this.clock.schedule(ttl, () => this.lapseLease(lease));
     this.#leases.set(lease, { ttl, timer });
   }
 
-  #record(change: StoreChange): void {
+  #recordChange(change: StoreChange): void {
     this.#history.push(change);
-    if (this.#history.length > 2 * HISTORY) this.#forgetOldest();
+    if (this.#history.length > 2 * MIN_HISTORY_CHANGES) this.#forgetOldest();
     if (this.fault.kind === 'skip-watches') return;
-    this.#settleWaiters((waiter) => change.key.startsWith(waiter.prefix), {
+    this.#settleWatchers((waiter) => change.key.startsWith(waiter.prefix), {
       kind: 'changed',
       version: this.#version,
     });
   }
 
   #forgetOldest(): void {
-    const forgotten = this.#history.splice(0, HISTORY);
+    const forgotten = this.#history.splice(0, MIN_HISTORY_CHANGES);
     this.#historyFloor = forgotten.at(-1)?.version ?? this.#historyFloor;
   }
 
-  #settleWaiters(matches: (waiter: Waiter) => boolean, result: WatchResult): void {
-    for (const waiter of this.#waiters.filter(matches)) waiter.resolve(result);
+  #settleWatchers(matches: (waiter: Watcher) => boolean, result: WatchResult): void {
+    for (const waiter of this.#watchers.filter(matches)) waiter.resolve(result);
   }
 }
 
 /** The faults in which no call is served. */
-const CLOSED: ReadonlySet<Fault['kind']> = new Set(['down', 'silent', 'busy', 'many']);
+const FAULTS_WITHOUT_SERVICE: ReadonlySet<Fault['kind']> = new Set([
+  'down',
+  'silent',
+  'busy',
+  'many',
+]);
 
 /** Creates a platform that calls a store in this process, with the store's faults. */
 export function createStorePlatform(store: Store, clock: Clock, watchWait = 20_000): Platform {
   const down = { kind: 'unavailable', reason: 'down' } as const;
   const prepare = async (kind: 'read' | 'write'): Promise<boolean> => {
     if (store.fault.kind === 'slow') await clock.sleep(store.fault.delay);
-    return !CLOSED.has(store.fault.kind) && store.admit(kind);
+    return !FAULTS_WITHOUT_SERVICE.has(store.fault.kind) && store.admit(kind);
   };
   const write = async (apply: () => WriteResult): Promise<WriteResult> => {
     if (!(await prepare('write'))) return { kind: 'refused', reason: 'down' };
--- a/src/standin/target.ts
+++ b/src/standin/target.ts
@@ -4,7 +4,7 @@
  */
 import http, { type IncomingMessage, type ServerResponse } from 'node:http';
 import type { Address, Random } from '../kernel/index.js';
-import { Pace } from './work-simulator.js';
+import { WorkSimulator } from './work-simulator.js';
 
 /** A fault of a target. */
 export type TargetFault =
@@ -65,13 +65,16 @@
   close(): void;
 }
 
-const MIN_TIME_SHARE = 0.5;
-const HEADER_NAME = 'orchidbeam-report';
+const MIN_SERVICE_TIME_FRACTION = 0.5;
+const REPORT_HEADER = 'orchidbeam-report';
 const CALL_HEADER = 'orchidbeam-call';
 
 /** Draws from an exponential distribution above a floor, with the given mean. */
 export function drawServiceTime(mean: number, random: Random): number {
-  return mean * (MIN_TIME_SHARE - (1 - MIN_TIME_SHARE) * Math.log(1 - random.next()));
+  return (
+    mean *
+    (MIN_SERVICE_TIME_FRACTION - (1 - MIN_SERVICE_TIME_FRACTION) * Math.log(1 - random.next()))
+  );
 }
 
 /** Starts a stand-in target. */
@@ -80,7 +83,7 @@
   const counts: TargetCounts = { calls: 0, shed: 0, probes: 0, connections: 0, cancelled: 0 };
   const runs = new Map<string, number>();
   let fault: TargetFault = { kind: 'none' };
-  const pace = new Pace();
+  const pace = new WorkSimulator();
   let running = 0;
   let waiting: readonly (() => void)[] = [];
 
@@ -109,7 +112,7 @@
 
   const shed = (response: ServerResponse) => {
     counts.shed += 1;
-    response.writeHead(503, { [HEADER_NAME]: buildReport(true), 'content-length': 0 });
+    response.writeHead(503, { [REPORT_HEADER]: buildReport(true), 'content-length': 0 });
     response.end();
   };
 
@@ -140,7 +143,7 @@
     const call = fault.kind === 'wrong-answer' ? 'another-call' : request.headers[CALL_HEADER];
     response.writeHead(request.method === 'POST' ? 201 : 200, {
       ...{ 'content-type': 'application/json', 'content-length': Buffer.byteLength(body) },
-      ...{ [HEADER_NAME]: buildReport(false), [CALL_HEADER]: call ?? '' },
+      ...{ [REPORT_HEADER]: buildReport(false), [CALL_HEADER]: call ?? '' },
     });
     response.end(body);
   };
@@ -151,7 +154,7 @@
     const drawn = options.drawTime?.(request) ?? drawServiceTime(options.serviceTime, random);
     const cancelled = new AbortController();
     response.on('close', () => cancelled.abort());
-    await pace.work(drawn, cancelled.signal);
+    await pace.run(drawn, cancelled.signal);
     if (cancelled.signal.aborted) {
       counts.cancelled += 1;
       return bytes;
@@ -211,7 +214,7 @@
         ...{ counts, runs },
         setFault: (next) => {
           fault = next;
-          pace.setFactor(next.kind === 'slow' ? next.factor : 1);
+          pace.setSlowdown(next.kind === 'slow' ? next.factor : 1);
         },
         close: () => {
           server.close();
--- a/src/standin/work-simulator.ts
+++ b/src/standin/work-simulator.ts
@@ -1,53 +1,53 @@
 /** Work that takes time, at a pace that can change while it is under way. */
 
-interface Work {
+interface PendingWork {
   /** Milliseconds of work left at the ordinary pace, as of `since`. */
-  left: number;
-  since: number;
+  remaining: number;
+  updatedAt: number;
   timer: NodeJS.Timeout;
-  readonly done: () => void;
+  readonly resolve: () => void;
 }
 
 /** Runs pieces of work; a slowdown slows also those that are under way. */
-export class Pace {
-  #factor = 1;
+export class WorkSimulator {
+  #slowdown = 1;
 
-  readonly #works = new Set<Work>();
+  readonly #pending = new Set<PendingWork>();
 
   /**
    * Resolves when `duration` milliseconds of work are done at the pace of each moment, or when
    * `signal` aborts.
    */
-  work(duration: number, signal: AbortSignal): Promise<void> {
+  run(duration: number, signal: AbortSignal): Promise<void> {
     if (signal.aborted) return Promise.resolve();
     return new Promise((resolve) => {
-      const work: Work = {
-        left: duration,
-        since: performance.now(),
-        timer: setTimeout(() => this.#finish(work), duration * this.#factor),
-        done: resolve,
+      const work: PendingWork = {
+        remaining: duration,
+        updatedAt: performance.now(),
+        timer: setTimeout(() => this.#finish(work), duration * this.#slowdown),
+        resolve: resolve,
       };
-      this.#works.add(work);
+      this.#pending.add(work);
       signal.addEventListener('abort', () => this.#finish(work), { once: true });
     });
   }
 
   /** Makes each piece of work take `factor` times as long from now on. */
-  setFactor(factor: number): void {
-    if (factor === this.#factor) return;
+  setSlowdown(factor: number): void {
+    if (factor === this.#slowdown) return;
     const now = performance.now();
-    for (const work of this.#works) {
-      work.left = Math.max(0, work.left - (now - work.since) / this.#factor);
-      work.since = now;
+    for (const work of this.#pending) {
+      work.remaining = Math.max(0, work.remaining - (now - work.updatedAt) / this.#slowdown);
+      work.updatedAt = now;
       clearTimeout(work.timer);
-      work.timer = setTimeout(() => this.#finish(work), work.left * factor);
+      work.timer = setTimeout(() => this.#finish(work), work.remaining * factor);
     }
-    this.#factor = factor;
+    this.#slowdown = factor;
   }
 
-  #finish(work: Work): void {
+  #finish(work: PendingWork): void {
     clearTimeout(work.timer);
-    this.#works.delete(work);
-    work.done();
+    this.#pending.delete(work);
+    work.resolve();
   }
 }
