--- a/src/soak/caller.ts
+++ b/src/soak/caller.ts
@@ -11,23 +11,23 @@
   /** Addresses of all daemons; a daemon is known by its place. */
   readonly ips: readonly string[];
   readonly random: Random;
-  readonly witness: SoakChecker;
+  readonly checker: SoakChecker;
   readonly now: () => number;
 }
 
 const ROUTES = ['safe', 'once', 'moving'] as const;
 
 /** How long an answer of the directory is kept, and a longer one now and then, in milliseconds. */
-const KEEP = 5000;
-const LONG_KEEP = 15_000;
-const LONG_SHARE = 0.2;
+const ADDRESS_TTL_MS = 5000;
+const LONG_ADDRESS_TTL_MS = 15_000;
+const LONG_TTL_PROBABILITY = 0.2;
 
-const DIRECTORY_TIMEOUT = 1000;
-const DEADLINE = 2500;
+const DIRECTORY_TIMEOUT_MS = 1000;
+const DEADLINE_MS = 2500;
 /** A caller gives up a little after the time that it told, and some leave long before. */
-const PATIENCE = DEADLINE + 500;
-const LEAVING_SHARE = 0.03;
-const PAUSE = 60;
+const CALLER_TIMEOUT_MS = DEADLINE_MS + 500;
+const EARLY_TIMEOUT_PROBABILITY = 0.03;
+const MEAN_PAUSE_MS = 60;
 
 /** A caller. */
 export class Caller {
@@ -35,11 +35,11 @@
 
   #addresses: readonly string[] = [];
 
-  #askedAt = -Infinity;
+  #resolvedAt = -Infinity;
 
-  #keep = KEEP;
+  #addressTtl = ADDRESS_TTL_MS;
 
-  #count = 0;
+  #requestCount = 0;
 
   constructor(private readonly options: CallerOptions) {}
 
@@ -47,39 +47,42 @@
   async run(signal: AbortSignal): Promise<void> {
     const { random } = this.options;
     while (!signal.aborted) {
-      await this.#refresh();
+      await this.#refreshAddresses();
       const ip = pickItem<string | undefined>(this.#addresses, this.options.random);
       if (ip !== undefined) await this.#call(ip);
       await new Promise((resolve) => {
-        setTimeout(resolve, PAUSE * 2 * random.next());
+        setTimeout(resolve, MEAN_PAUSE_MS * 2 * random.next());
       });
     }
     this.#agent.destroy();
   }
 
-  async #refresh(): Promise<void> {
+  async #refreshAddresses(): Promise<void> {
     const { now, ips, random } = this.options;
-    if (now() - this.#askedAt < this.#keep && this.#addresses.length > 0) return;
+    if (now() - this.#resolvedAt < this.#addressTtl && this.#addresses.length > 0) return;
     const ip = pickItem(ips, random);
-    const found = await askDirectory(ip);
+    const found = await fetchAddresses(ip);
     if (found.length === 0) return;
     this.#addresses = found;
-    this.#askedAt = now();
-    this.#keep = random.next() < LONG_SHARE ? LONG_KEEP : KEEP;
+    this.#resolvedAt = now();
+    this.#addressTtl = random.next() < LONG_TTL_PROBABILITY ? LONG_ADDRESS_TTL_MS : ADDRESS_TTL_MS;
   }
 
   async #call(ip: string): Promise<void> {
-    const { witness, now, random, name, ips } = this.options;
-    this.#count += 1;
+    const { checker: witness, now, random, name, ips } = this.options;
+    this.#requestCount += 1;
     const route = pickItem(ROUTES, random);
-    const id = `${route}-${name}-${this.#count}`;
+    const id = `${route}-${name}-${this.#requestCount}`;
     const isRepeatable = route !== 'once';
     witness.recordRequest({ id, isRepeatable, daemon: ips.indexOf(ip), sentAt: now() });
-    const patience = random.next() < LEAVING_SHARE ? PATIENCE * random.next() : PATIENCE;
+    const patience =
+      random.next() < EARLY_TIMEOUT_PROBABILITY
+        ? CALLER_TIMEOUT_MS * random.next()
+        : CALLER_TIMEOUT_MS;
     const end = await this.#send(ip, { id, route, patience });
     witness.recordOutcome(id, end, now());
     // Whoever is not answered asks anew for addresses.
-    if (end.kind === 'cut' || end.kind === 'not-connected') this.#askedAt = -Infinity;
+    if (end.kind === 'cut' || end.kind === 'not-connected') this.#resolvedAt = -Infinity;
   }
 
   #send(
@@ -94,7 +97,7 @@
     const body = route === 'once' ? 'pay' : undefined;
     return new Promise((resolve) => {
       let isSent = false;
-      const headers = { host: HOST, 'attempt-id': id, 'request-deadline-ms': String(DEADLINE) };
+      const headers = { host: HOST, 'attempt-id': id, 'request-deadline-ms': String(DEADLINE_MS) };
       const request = http.request({
         ...{ host: ip, port: DAEMON_PORTS.callers, path: `/${route}/1`, method },
         ...{ agent: this.#agent, headers },
@@ -134,11 +137,11 @@
   }
 }
 
-function askDirectory(ip: string): Promise<readonly string[]> {
+function fetchAddresses(ip: string): Promise<readonly string[]> {
   return new Promise((resolve) => {
     const request = http.get(
       {
-        ...{ host: ip, port: DAEMON_PORTS.directory, agent: false, timeout: DIRECTORY_TIMEOUT },
+        ...{ host: ip, port: DAEMON_PORTS.directory, agent: false, timeout: DIRECTORY_TIMEOUT_MS },
         path: `/resolve?name=${HOST}&region=r1&zone=d1`,
       },
       (response) => {
--- a/src/soak/checker.ts
+++ b/src/soak/checker.ts
@@ -16,12 +16,12 @@
   | { readonly kind: 'not-connected' }
   | { readonly kind: 'left' };
 
-interface Try {
+interface CallerRequest {
   readonly id: string;
   readonly isRepeatable: boolean;
   readonly daemon: number;
   readonly sentAt: number;
-  end: (RequestOutcome & { readonly at: number }) | undefined;
+  outcome: (RequestOutcome & { readonly at: number }) | undefined;
 }
 
 interface Run {
@@ -68,26 +68,26 @@
 }
 
 /** After a fault has ended, promises with a time in them hold again after this long. */
-const CALM_AFTER = 3000;
+const RECOVERY_MS = 3000;
 
 /** Timers of a busy machine fire late; promises with a time in them are given this much more. */
-const MARGIN = 500;
+const TIMER_MARGIN_MS = 500;
 
 /** A request that crosses the close of its connection within this time was not read. */
-const CROSSING = 200;
+const CLOSE_RACE_MS = 200;
 
 /** A daemon takes some time to start again, or to wake, in milliseconds. */
-const INTERRUPTION = 8000;
+const MAX_RESTART_MS = 8000;
 
 /** A rejection is read within this time, in milliseconds; this many requests may come in the back-off all the same. */
-const BACKOFF_READ = 500;
-const MOST_IN_BACKOFF = 2;
+const REJECTION_READ_MS = 500;
+const MAX_REQUESTS_IN_BACKOFF = 2;
 
 /** Probes are counted over this long. */
-const PROBE_SPAN = 5000;
+const PROBE_WINDOW_MS = 5000;
 
 /** Statuses that promise that a request has not run and will not. */
-const PROMISES = new Set([408, 421, 429, 503]);
+const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 
 /** Writes the body that a target answers to a request. */
 export function composeBody(id: string): string {
@@ -96,7 +96,7 @@
 
 /** Collects what was seen. */
 export class SoakChecker {
-  readonly #tries = new Map<string, Try>();
+  readonly #requests = new Map<string, CallerRequest>();
 
   readonly #runs: Run[] = [];
 
@@ -110,19 +110,19 @@
 
   readonly #stops: { readonly daemon: number; readonly at: number }[] = [];
 
-  readonly #configured: { readonly service: string; readonly at: number }[] = [];
+  readonly #configurations: { readonly service: string; readonly at: number }[] = [];
 
   readonly #faults: { readonly from: number; readonly to: number }[] = [];
 
-  constructor(private readonly agreement: PromisedLimits) {}
+  constructor(private readonly limits: PromisedLimits) {}
 
-  recordRequest(made: Omit<Try, 'end'>): void {
-    this.#tries.set(made.id, { ...made, end: undefined });
+  recordRequest(made: Omit<CallerRequest, 'outcome'>): void {
+    this.#requests.set(made.id, { ...made, outcome: undefined });
   }
 
   recordOutcome(id: string, end: RequestOutcome, at: number): void {
-    const made = this.#tries.get(id);
-    if (made !== undefined) made.end = { ...end, at };
+    const made = this.#requests.get(id);
+    if (made !== undefined) made.outcome = { ...end, at };
   }
 
   recordRun(run: Run): void {
@@ -157,7 +157,7 @@
 
   /** The store holds from now on a configuration that sends the moving route to a service. */
   recordConfiguration(service: string, at: number): void {
-    this.#configured.push({ service, at });
+    this.#configurations.push({ service, at });
   }
 
   /** Something was made to fail; promises with a time in them do not bind meanwhile. */
@@ -168,7 +168,7 @@
   /** How many tries ended in which way. */
   countOutcomes(): Readonly<Record<string, number>> {
     const counts: Record<string, number> = {};
-    for (const { end } of this.#tries.values()) {
+    for (const { outcome: end } of this.#requests.values()) {
       const name = end?.kind === 'answered' ? String(end.status) : (end?.kind ?? 'open');
       counts[name] = (counts[name] ?? 0) + 1;
     }
@@ -196,13 +196,13 @@
   }
 
   /** Whether nothing was wrong from some time before a span to its end. */
-  #isCalm(from: number, to: number): boolean {
-    return this.#faults.every((fault) => fault.from > to || fault.to + CALM_AFTER < from);
+  #isFaultFree(from: number, to: number): boolean {
+    return this.#faults.every((fault) => fault.from > to || fault.to + RECOVERY_MS < from);
   }
 
   #checkAnswers(): readonly Violation[] {
     const breaks: Violation[] = [];
-    for (const { id, end } of this.#tries.values()) {
+    for (const { id, outcome: end } of this.#requests.values()) {
       if (end?.kind !== 'answered' || end.status !== 200) continue;
       if (end.isSigned && end.body === composeBody(id)) continue;
       breaks.push({ promise: 'own and whole answers', what: `${id} got ${end.body.slice(0, 40)}` });
@@ -215,11 +215,11 @@
     const counts = new Map<string, number>();
     for (const { id } of this.#runs) counts.set(id, (counts.get(id) ?? 0) + 1);
     for (const [id, count] of counts) {
-      const made = this.#tries.get(id);
+      const made = this.#requests.get(id);
       if (made === undefined || made.isRepeatable) continue;
       if (count > 1) breaks.push({ promise: 'at most once', what: `${id} ran ${count} times` });
-      const { end } = made;
-      if (end?.kind === 'answered' && PROMISES.has(end.status)) {
+      const { outcome: end } = made;
+      if (end?.kind === 'answered' && NOT_RUN_STATUSES.has(end.status)) {
         breaks.push({ promise: 'true refusals', what: `${id} ran and was told ${end.status}` });
       }
     }
@@ -230,8 +230,8 @@
     const breaks: Violation[] = [];
     for (const { id, target, at } of this.#runs) {
       const drainedAt = this.#drains.get(target) ?? Infinity;
-      const late = at - drainedAt - this.agreement.drainTime;
-      if (late <= MARGIN || !this.#isCalm(drainedAt, at)) continue;
+      const late = at - drainedAt - this.limits.drainTime;
+      if (late <= TIMER_MARGIN_MS || !this.#isFaultFree(drainedAt, at)) continue;
       breaks.push({ promise: 'leaving targets', what: `${id} ran at ${target} ${late} ms late` });
     }
     return breaks;
@@ -244,18 +244,19 @@
     for (const { id } of this.#runs) counts.set(id, (counts.get(id) ?? 0) + 1);
     const told = new Map<string, number>();
     for (const { id, target, saysDraining } of this.#runs) {
-      const made = this.#tries.get(id);
-      if (!saysDraining || made?.end?.kind !== 'answered' || made.end.status !== 200) continue;
+      const made = this.#requests.get(id);
+      if (!saysDraining || made?.outcome?.kind !== 'answered' || made.outcome.status !== 200)
+        continue;
       // Of a request that ran twice nobody knows whose answer was passed on.
       if (counts.get(id) !== 1) continue;
       const key = `${made.daemon} ${target}`;
-      told.set(key, Math.min(told.get(key) ?? Infinity, made.end.at));
+      told.set(key, Math.min(told.get(key) ?? Infinity, made.outcome.at));
     }
     for (const { id, target, at } of this.#runs) {
-      const made = this.#tries.get(id);
+      const made = this.#requests.get(id);
       const toldAt = told.get(`${made?.daemon} ${target}`) ?? Infinity;
-      if (made === undefined || made.sentAt <= toldAt + this.agreement.drainTime) continue;
-      if (this.#isInterrupted(made.daemon, toldAt - INTERRUPTION, at)) continue;
+      if (made === undefined || made.sentAt <= toldAt + this.limits.drainTime) continue;
+      if (this.#isInterrupted(made.daemon, toldAt - MAX_RESTART_MS, at)) continue;
       breaks.push({ promise: 'stated drains', what: `${id} ran at ${target} after it said so` });
     }
     return breaks;
@@ -265,18 +266,18 @@
     const breaks: Violation[] = [];
     const arrivals = [...this.#runs, ...this.#rejections];
     for (const { id, target, at, backoff } of this.#rejections) {
-      const daemon = this.#tries.get(id)?.daemon ?? -1;
+      const daemon = this.#requests.get(id)?.daemon ?? -1;
       const until = at + backoff;
-      if (!this.#isCalm(at, until) || this.#isInterrupted(daemon, at - INTERRUPTION, until))
+      if (!this.#isFaultFree(at, until) || this.#isInterrupted(daemon, at - MAX_RESTART_MS, until))
         continue;
       const later = arrivals.filter(
         (it) =>
           it.target === target &&
-          it.at > at + BACKOFF_READ &&
+          it.at > at + REJECTION_READ_MS &&
           it.at < until &&
-          this.#tries.get(it.id)?.daemon === daemon,
+          this.#requests.get(it.id)?.daemon === daemon,
       );
-      if (later.length <= MOST_IN_BACKOFF) continue;
+      if (later.length <= MAX_REQUESTS_IN_BACKOFF) continue;
       breaks.push({ promise: 'back-offs', what: `${target} got ${later.length} after ${id}` });
     }
     return breaks;
@@ -286,11 +287,11 @@
   #checkStops(): readonly Violation[] {
     const breaks: Violation[] = [];
     for (const { daemon, at } of this.#stops) {
-      for (const { id, daemon: asked, sentAt, end } of this.#tries.values()) {
+      for (const { id, daemon: asked, sentAt, outcome: end } of this.#requests.values()) {
         if (asked !== daemon || end?.kind !== 'cut' || end.at < at || sentAt > end.at) continue;
-        if (sentAt > at + this.agreement.drainTime || !this.#isCalm(sentAt, end.at)) continue;
+        if (sentAt > at + this.limits.drainTime || !this.#isFaultFree(sentAt, end.at)) continue;
         const hasRun = this.#runs.some((run) => run.id === id);
-        if (!hasRun && end.at - sentAt <= CROSSING) continue;
+        if (!hasRun && end.at - sentAt <= CLOSE_RACE_MS) continue;
         breaks.push({ promise: 'planned stops', what: `${id} was cut ${end.at - at} ms after` });
       }
     }
@@ -300,41 +301,43 @@
   #checkConfiguration(): readonly Violation[] {
     const breaks: Violation[] = [];
     for (const { id, service, at } of this.#runs) {
-      const made = this.#tries.get(id);
+      const made = this.#requests.get(id);
       if (made === undefined || !id.startsWith('moving')) continue;
-      const isAllowed = this.#configured.some((configured, index) => {
-        const next = this.#configured[index + 1]?.at ?? Infinity;
+      const isAllowed = this.#configurations.some((configured, index) => {
+        const next = this.#configurations[index + 1]?.at ?? Infinity;
         const isKnown = configured.at <= at;
-        const isInForce = made.sentAt <= next + this.agreement.applyTime + MARGIN;
+        const isInForce = made.sentAt <= next + this.limits.applyTime + TIMER_MARGIN_MS;
         return configured.service === service && isKnown && isInForce;
       });
-      if (isAllowed || !this.#isCalm(made.sentAt - this.agreement.applyTime, at)) continue;
+      if (isAllowed || !this.#isFaultFree(made.sentAt - this.limits.applyTime, at)) continue;
       breaks.push({ promise: 'configuration in force', what: `${id} went to ${service}` });
     }
     return breaks;
   }
 
   #checkProbes(): readonly Violation[] {
-    const most = (this.agreement.probesPerSecond * PROBE_SPAN) / 1000;
+    const most = (this.limits.probesPerSecond * PROBE_WINDOW_MS) / 1000;
     for (const [target, times] of this.#probes) {
       for (const [index, at] of times.entries()) {
         const first = times[index - Math.ceil(most)] ?? -Infinity;
-        if (at - first >= PROBE_SPAN) continue;
-        return [{ promise: 'probes', what: `${target} had over ${most} within ${PROBE_SPAN} ms` }];
+        if (at - first >= PROBE_WINDOW_MS) continue;
+        return [
+          { promise: 'probes', what: `${target} had over ${most} within ${PROBE_WINDOW_MS} ms` },
+        ];
       }
     }
     return [];
   }
 
   #checkRepeats(): readonly Violation[] {
-    const { retryRatio, retryWindow, retrySlack } = this.agreement;
+    const { retryRatio, retryWindow, retrySlack } = this.limits;
     const seen = new Set<string>();
     const repeats: number[] = [];
     for (const { id, at } of this.#runs) {
       if (seen.has(id)) repeats.push(at);
       seen.add(id);
     }
-    const sent = [...this.#tries.values()].map(({ sentAt }) => sentAt).sort((a, b) => a - b);
+    const sent = [...this.#requests.values()].map(({ sentAt }) => sentAt).sort((a, b) => a - b);
     const count = (times: readonly number[], from: number, to: number) =>
       times.filter((at) => at > from && at <= to).length;
     for (const end of repeats) {
--- a/src/soak/daemon-process.ts
+++ b/src/soak/daemon-process.ts
@@ -27,7 +27,7 @@
 }
 
 /** A process that ends without an order is started again after this long. */
-const RESTART_PAUSE = 300;
+const RESTART_DELAY_MS = 300;
 
 /** The process of one daemon; it is started again whenever it ends, until it is closed. */
 export class DaemonProcess {
@@ -73,7 +73,7 @@
       this.#child = undefined;
       this.#isFrozen = false;
       if (code !== null) this.onEnd(code);
-      setTimeout(() => this.start(), RESTART_PAUSE);
+      setTimeout(() => this.start(), RESTART_DELAY_MS);
     });
   }
 
--- a/src/soak/link.ts
+++ b/src/soak/link.ts
@@ -18,9 +18,9 @@
 
   readonly #sockets = new Set<net.Socket>();
 
-  readonly #server = net.createServer({ allowHalfOpen: true }, (near) => this.#join(near));
+  readonly #server = net.createServer({ allowHalfOpen: true }, (near) => this.#connect(near));
 
-  constructor(private readonly behind: Address) {}
+  constructor(private readonly upstream: Address) {}
 
   /** Starts on a free loopback port. */
   start(): Promise<Address> {
@@ -50,20 +50,20 @@
     for (const socket of this.#sockets) socket.resetAndDestroy();
   }
 
-  #join(near: net.Socket): void {
+  #connect(near: net.Socket): void {
     if (this.#fault.kind === 'reset') {
       near.resetAndDestroy();
       return;
     }
-    const far = net.connect({ ...this.behind, allowHalfOpen: true });
-    this.#pass(near, far, 'in');
-    this.#pass(far, near, 'out');
+    const far = net.connect({ ...this.upstream, allowHalfOpen: true });
+    this.#forward(near, far, 'in');
+    this.#forward(far, near, 'out');
   }
 
-  #pass(from: net.Socket, to: net.Socket, way: 'in' | 'out'): void {
+  #forward(from: net.Socket, to: net.Socket, way: 'in' | 'out'): void {
     this.#sockets.add(from);
-    from.on('data', (chunk: Buffer) => this.#carry(() => to.write(chunk), way));
-    from.on('end', () => this.#carry(() => to.end(), way));
+    from.on('data', (chunk: Buffer) => this.#applyFault(() => to.write(chunk), way));
+    from.on('end', () => this.#applyFault(() => to.end(), way));
     from.on('error', () => to.resetAndDestroy());
     from.on('close', () => {
       this.#sockets.delete(from);
@@ -71,7 +71,7 @@
     });
   }
 
-  #carry(action: () => void, way: 'in' | 'out'): void {
+  #applyFault(action: () => void, way: 'in' | 'out'): void {
     const fault = this.#fault;
     switch (fault.kind) {
       case 'none':
--- a/src/soak/plan.ts
+++ b/src/soak/plan.ts
@@ -42,15 +42,15 @@
 }
 
 /** Time between two entries of a plan, in milliseconds: they come in series and overlap. */
-const GAP = 700;
-const LONGEST = 4000;
+const MEAN_GAP_MS = 700;
+const MAX_ADDED_DURATION_MS = 4000;
 
 /** The part of leaving targets of which the store is told late, and how late, in milliseconds. */
-const TOLD_LATE = 0.5;
-const LATEST = 8000;
+const LATE_DRAIN_PROBABILITY = 0.5;
+const MAX_DRAIN_DELAY_MS = 8000;
 
 /** Longest back-off, in seconds. */
-const LONGEST_BACKOFF = 3;
+const MAX_BACKOFF_S = 3;
 
 function drawLinkFault(random: Random): LinkFault {
   return pickItem<LinkFault>(
@@ -78,7 +78,7 @@
 }
 
 function drawEvent(at: number, { daemons, targets }: SoakSize, random: Random): SoakEvent {
-  const lasts = 300 + random.next() * LONGEST;
+  const lasts = 300 + random.next() * MAX_ADDED_DURATION_MS;
   const daemon = Math.floor(random.next() * daemons);
   const target = Math.floor(random.next() * targets);
   const kind = pickItem(
@@ -117,10 +117,10 @@
         at,
         kind,
         target,
-        toldAfter: random.next() < TOLD_LATE ? LATEST * random.next() : 0,
+        toldAfter: random.next() < LATE_DRAIN_PROBABILITY ? MAX_DRAIN_DELAY_MS * random.next() : 0,
       };
     case 'reject':
-      return { at, kind, target, lasts, backoff: LONGEST_BACKOFF * random.next() };
+      return { at, kind, target, lasts, backoff: MAX_BACKOFF_S * random.next() };
     default:
       return kind satisfies never;
   }
@@ -130,7 +130,7 @@
 export function drawPlan(random: Random, size: SoakSize): readonly SoakEvent[] {
   const events: SoakEvent[] = [];
   const end = size.duration * 0.8;
-  for (let at = GAP; at < end; at += 2 * GAP * random.next()) {
+  for (let at = MEAN_GAP_MS; at < end; at += 2 * MEAN_GAP_MS * random.next()) {
     events.push(drawEvent(Math.round(at), size, random));
   }
   return events;
--- a/src/soak/run.ts
+++ b/src/soak/run.ts
@@ -26,23 +26,23 @@
   readonly breaks: readonly Violation[];
 }
 
-const AGREEMENT: PromisedLimits = {
+const LIMITS: PromisedLimits = {
   ...{ drainTime: 2000, applyTime: 2000, probesPerSecond: 60 },
   ...{ retryRatio: 0.2, retryWindow: 10_000, retrySlack: 20 },
 };
 
-const GRACE = 6;
+const GRACE_S = 6;
 
 /** Every run has loopback addresses of its own, so that several may go on at once. */
-const NETWORK = `127.${10 + (process.pid % 200)}.9`;
-const FIRST_IP = 20;
-const SECOND = 1000;
-const START_TIME = 1500;
-const STARTUP = 1000;
-const LEAST_WORK = 10;
-const MOST_WORK = 80;
+const LOOPBACK_PREFIX = `127.${10 + (process.pid % 200)}.9`;
+const FIRST_HOST_NUMBER = 20;
+const MS_PER_SECOND = 1000;
+const DAEMON_START_MS = 1500;
+const DAEMON_RESTART_MS = 1000;
+const MIN_WORK_MS = 10;
+const MAX_WORK_MS = 80;
 
-interface Place {
+interface LinkedTarget {
   readonly service: string;
   target: RecordingTarget;
   link: Link;
@@ -54,7 +54,7 @@
 
   readonly #random;
 
-  readonly #witness = new SoakChecker(AGREEMENT);
+  readonly #checker = new SoakChecker(LIMITS);
 
   readonly #store = new KvServer();
 
@@ -65,14 +65,14 @@
   /** Seconds for which targets that reject what they get want nothing. */
   readonly #backoffs = new Map<RecordingTarget, number>();
 
-  readonly #places: Place[] = [];
+  readonly #targets: LinkedTarget[] = [];
 
   /** Where the daemons' settings are written. */
-  #directory = '';
+  #settingsDirectory = '';
 
-  #version = 0;
+  #configurationVersion = 0;
 
-  #incarnations = 0;
+  #incarnationCount = 0;
 
   constructor(private readonly options: SoakOptions) {
     this.#random = createSeededRandom(options.seed);
@@ -83,19 +83,22 @@
   async run(): Promise<SoakReport> {
     const { daemons, targets, callers, duration: length } = this.options;
     const plan = drawPlan(this.#random, this.options);
-    const ips = Array.from({ length: daemons }, (_, index) => `${NETWORK}.${FIRST_IP + index}`);
-    this.#directory = await mkdtemp(join(tmpdir(), 'orchidbeam-soak-'));
+    const ips = Array.from(
+      { length: daemons },
+      (_, index) => `${LOOPBACK_PREFIX}.${FIRST_HOST_NUMBER + index}`,
+    );
+    this.#settingsDirectory = await mkdtemp(join(tmpdir(), 'orchidbeam-soak-'));
     await this.#store.start();
     this.#configure();
     for (let index = 0; index < targets; index += 1) {
-      this.#places.push(await this.#openPlace(index % 4 === 3 ? 'beta' : 'alpha'));
+      this.#targets.push(await this.#startTarget(index % 4 === 3 ? 'beta' : 'alpha'));
     }
     for (const ip of ips) await this.#startDaemon(ip, ips);
-    await this.#wait(START_TIME);
+    await this.#wait(DAEMON_START_MS);
     const ends = new AbortController();
     const calling = Array.from({ length: callers }, (_, index) =>
       new Caller({
-        ...{ name: `c${index}`, ips, witness: this.#witness, now: this.#now },
+        ...{ name: `c${index}`, ips, checker: this.#checker, now: this.#now },
         random: createSeededRandom(this.options.seed * 1000 + index),
       }).run(ends.signal),
     );
@@ -103,17 +106,17 @@
     for (const event of plan) {
       await this.#wait(startedAt + event.at - this.#now());
       this.options.onEvent?.(JSON.stringify(event));
-      await this.#play(event);
+      await this.#applyEvent(event);
     }
     await this.#wait(startedAt + length - this.#now());
     ends.abort();
     await Promise.all(calling);
     await this.#close();
-    const breaks = this.#witness.listViolations();
+    const breaks = this.#checker.listViolations();
     return {
       seed: this.options.seed,
       events: plan.length,
-      ends: this.#witness.countOutcomes(),
+      ends: this.#checker.countOutcomes(),
       breaks,
     };
   }
@@ -125,33 +128,33 @@
   }
 
   #configure(): void {
-    this.#version += 3;
-    const service = this.#version % 2 === 0 ? 'alpha' : 'beta';
+    this.#configurationVersion += 3;
+    const service = this.#configurationVersion % 2 === 0 ? 'alpha' : 'beta';
     const rules = [
       { prefix: '/safe/' },
       { prefix: '/once/', kind: 'unsafe' as const },
       { prefix: '/moving/', service },
     ];
-    this.#store.put(KEYS.configuration, writeConfiguration(this.#version, rules));
-    this.#witness.recordConfiguration(service, this.#now());
+    this.#store.put(KEYS.configuration, writeConfiguration(this.#configurationVersion, rules));
+    this.#checker.recordConfiguration(service, this.#now());
   }
 
-  async #openPlace(service: string): Promise<Place> {
-    this.#incarnations += 1;
-    const target = await new RecordingTarget(`i-${this.#incarnations}`).start();
-    target.onProbe = () => this.#witness.recordProbe(target.incarnation, this.#now());
+  async #startTarget(service: string): Promise<LinkedTarget> {
+    this.#incarnationCount += 1;
+    const target = await new RecordingTarget(`i-${this.#incarnationCount}`).start();
+    target.onProbe = () => this.#checker.recordProbe(target.incarnation, this.#now());
     target.behaviour = (request, response) => {
       const id = String(request.headers['attempt-id']);
       const arrival = { id, target: target.incarnation, at: this.#now() };
       const backoff = this.#backoffs.get(target);
       request.resume();
       if (backoff !== undefined) {
-        this.#witness.recordRejection({ ...arrival, backoff: backoff * SECOND });
+        this.#checker.recordRejection({ ...arrival, backoff: backoff * MS_PER_SECOND });
         target.reject(response, String(backoff));
         return;
       }
-      this.#witness.recordRun({ ...arrival, service, saysDraining: target.draining !== undefined });
-      const work = LEAST_WORK + this.#random.next() * (MOST_WORK - LEAST_WORK);
+      this.#checker.recordRun({ ...arrival, service, saysDraining: target.draining !== undefined });
+      const work = MIN_WORK_MS + this.#random.next() * (MAX_WORK_MS - MIN_WORK_MS);
       setTimeout(() => target.answer(request, response, composeBody(id)), work);
     };
     const link = new Link(target.address);
@@ -168,12 +171,12 @@
       {
         ...{ ip, domain: `d${index % 3}`, seeds: ips.slice(0, 3), store: await link.start() },
         cores: 0.5,
-        directory: this.#directory,
+        directory: this.#settingsDirectory,
         promiseSettings: [
-          ...[`grace = ${GRACE}`, 'answer_ttl = 5', `retry_ratio = ${AGREEMENT.retryRatio}`],
-          ...[`retry_window = ${AGREEMENT.retryWindow / 1000}`],
-          ...[`retry_slack = ${AGREEMENT.retrySlack}`],
-          `probes_per_second = ${AGREEMENT.probesPerSecond}`,
+          ...[`grace = ${GRACE_S}`, 'answer_ttl = 5', `retry_ratio = ${LIMITS.retryRatio}`],
+          ...[`retry_window = ${LIMITS.retryWindow / 1000}`],
+          ...[`retry_slack = ${LIMITS.retrySlack}`],
+          `probes_per_second = ${LIMITS.probesPerSecond}`,
         ],
       },
       (code) => {
@@ -184,41 +187,41 @@
     await daemon.open();
   }
 
-  async #play(event: SoakEvent): Promise<void> {
+  async #applyEvent(event: SoakEvent): Promise<void> {
     const now = this.#now();
     switch (event.kind) {
       case 'store':
         this.#store.fault = event.fault;
-        this.#heal(event.lasts, () => {
+        this.#scheduleFaultEnd(event.lasts, () => {
           this.#store.fault = { kind: 'none' };
         });
         return;
       case 'store-link': {
         const link = this.#storeLinks[event.daemon];
         link?.setFault(event.fault);
-        this.#heal(event.lasts, () => link?.setFault({ kind: 'none' }));
+        this.#scheduleFaultEnd(event.lasts, () => link?.setFault({ kind: 'none' }));
         return;
       }
       case 'target-link': {
-        const { link } = this.#places[event.target];
+        const { link } = this.#targets[event.target];
         link.setFault(event.fault);
-        this.#heal(event.lasts, () => link.setFault({ kind: 'none' }));
+        this.#scheduleFaultEnd(event.lasts, () => link.setFault({ kind: 'none' }));
         return;
       }
       case 'stop':
         if (!this.#daemons[event.daemon].isRunning) return;
-        this.#witness.recordStop(event.daemon, now);
-        this.#witness.recordInterruption(event.daemon, now);
+        this.#checker.recordStop(event.daemon, now);
+        this.#checker.recordInterruption(event.daemon, now);
         this.#daemons[event.daemon].stop();
         return;
       case 'kill':
-        this.#witness.recordFault(now, now + STARTUP);
-        this.#witness.recordInterruption(event.daemon, now);
+        this.#checker.recordFault(now, now + DAEMON_RESTART_MS);
+        this.#checker.recordInterruption(event.daemon, now);
         this.#daemons[event.daemon].kill();
         return;
       case 'freeze':
-        this.#witness.recordFault(now, now + event.lasts);
-        this.#witness.recordInterruption(event.daemon, now);
+        this.#checker.recordFault(now, now + event.lasts);
+        this.#checker.recordInterruption(event.daemon, now);
         this.#daemons[event.daemon].freeze(event.lasts);
         return;
       case 'configure':
@@ -228,10 +231,10 @@
         this.#store.compact();
         return;
       case 'drain':
-        await this.#drain(event.target, event.toldAfter);
+        await this.#drainTarget(event.target, event.toldAfter);
         return;
       case 'reject': {
-        const { target } = this.#places[event.target];
+        const { target } = this.#targets[event.target];
         this.#backoffs.set(target, Number(event.backoff.toFixed(3)));
         setTimeout(() => this.#backoffs.delete(target), event.lasts);
         return;
@@ -241,15 +244,15 @@
     }
   }
 
-  #heal(lasts: number, end: () => void): void {
+  #scheduleFaultEnd(lasts: number, end: () => void): void {
     const now = this.#now();
-    this.#witness.recordFault(now, now + lasts);
+    this.#checker.recordFault(now, now + lasts);
     setTimeout(end, lasts);
   }
 
   /** A target leaves as the users' do: it says so, serves on for a while, and another one comes. */
-  async #drain(index: number, toldAfter: number): Promise<void> {
-    const leaving = this.#places[index];
+  async #drainTarget(index: number, toldAfter: number): Promise<void> {
+    const leaving = this.#targets[index];
     const { service, target, link } = leaving;
     const entry = KEYS.targets + target.incarnation;
     const text = this.#store.get(entry);
@@ -258,28 +261,28 @@
     target.healthDraining = '1';
     setTimeout(() => {
       this.#store.put(entry, text.replace('"ready"', '"draining"'));
-      this.#witness.recordDrain(target.incarnation, this.#now());
+      this.#checker.recordDrain(target.incarnation, this.#now());
     }, toldAfter);
-    this.#places[index] = await this.#openPlace(service);
+    this.#targets[index] = await this.#startTarget(service);
     setTimeout(
       () => {
         this.#store.remove(entry);
         link.stop();
         target.stop();
       },
-      toldAfter + AGREEMENT.drainTime * 2,
+      toldAfter + LIMITS.drainTime * 2,
     );
   }
 
   async #close(): Promise<void> {
     for (const daemon of this.#daemons) daemon.close();
     for (const link of this.#storeLinks) link.stop();
-    for (const { link, target } of this.#places) {
+    for (const { link, target } of this.#targets) {
       link.stop();
       target.stop();
     }
     this.#store.stop();
-    await rm(this.#directory, { recursive: true, force: true });
+    await rm(this.#settingsDirectory, { recursive: true, force: true });
   }
 }
 
