--- a/src/soak/caller.ts
+++ b/src/soak/caller.ts
@@ -61,28 +61,28 @@
     const { now, ips, random } = this.options;
     if (now() - this.#resolvedAt < this.#addressTtl && this.#addresses.length > 0) return;
     const ip = pickItem(ips, random);
-    const found = await fetchAddresses(ip);
-    if (found.length === 0) return;
-    this.#addresses = found;
+    const addresses = await fetchAddresses(ip);
+    if (addresses.length === 0) return;
+    this.#addresses = addresses;
     this.#resolvedAt = now();
     this.#addressTtl = random.next() < LONG_TTL_PROBABILITY ? LONG_ADDRESS_TTL_MS : ADDRESS_TTL_MS;
   }
 
   async #call(ip: string): Promise<void> {
-    const { checker: witness, now, random, name, ips } = this.options;
+    const { checker, now, random, name, ips } = this.options;
     this.#requestCount += 1;
     const route = pickItem(ROUTES, random);
     const id = `${route}-${name}-${this.#requestCount}`;
     const isRepeatable = route !== 'once';
-    witness.recordRequest({ id, isRepeatable, daemon: ips.indexOf(ip), sentAt: now() });
-    const patience =
+    checker.recordRequest({ id, isRepeatable, daemon: ips.indexOf(ip), sentAt: now() });
+    const timeout =
       random.next() < EARLY_TIMEOUT_PROBABILITY
         ? CALLER_TIMEOUT_MS * random.next()
         : CALLER_TIMEOUT_MS;
-    const end = await this.#send(ip, { id, route, patience });
-    witness.recordOutcome(id, end, now());
+    const outcome = await this.#send(ip, { id, route, timeout });
+    checker.recordOutcome(id, outcome, now());
     // Whoever is not answered asks anew for addresses.
-    if (end.kind === 'cut' || end.kind === 'not-connected') this.#resolvedAt = -Infinity;
+    if (outcome.kind === 'cut' || outcome.kind === 'not-connected') this.#resolvedAt = -Infinity;
   }
 
   #send(
@@ -90,13 +90,13 @@
     {
       id,
       route,
-      patience,
-    }: { readonly id: string; readonly route: string; readonly patience: number },
+      timeout,
+    }: { readonly id: string; readonly route: string; readonly timeout: number },
   ): Promise<RequestOutcome> {
     const method = route === 'once' ? 'POST' : 'GET';
     const body = route === 'once' ? 'pay' : undefined;
     return new Promise((resolve) => {
-      let isSent = false;
+      let isConnected = false;
       const headers = { host: HOST, 'attempt-id': id, 'request-deadline-ms': String(DEADLINE_MS) };
       const request = http.request({
         ...{ host: ip, port: DAEMON_PORTS.callers, path: `/${route}/1`, method },
@@ -105,27 +105,27 @@
       const timer = setTimeout(() => {
         resolve({ kind: 'left' });
         request.destroy();
-      }, patience);
-      const conclude = (end: RequestOutcome) => {
+      }, timeout);
+      const finish = (outcome: RequestOutcome) => {
         clearTimeout(timer);
-        resolve(end);
+        resolve(outcome);
       };
       request.on('socket', (socket) => {
-        if (!socket.connecting) isSent = true;
+        if (!socket.connecting) isConnected = true;
         else
           socket.once('connect', () => {
-            isSent = true;
+            isConnected = true;
           });
       });
-      request.on('error', () => conclude({ kind: isSent ? 'cut' : 'not-connected' }));
+      request.on('error', () => finish({ kind: isConnected ? 'cut' : 'not-connected' }));
       request.on('response', (response) => {
         const chunks: Buffer[] = [];
         response.on('data', (chunk: Buffer) => chunks.push(chunk));
-        response.on('error', () => conclude({ kind: 'cut' }));
+        response.on('error', () => finish({ kind: 'cut' }));
         response.on('close', () => {
-          if (!response.complete) conclude({ kind: 'cut' });
+          if (!response.complete) finish({ kind: 'cut' });
           else
-            conclude({
+            finish({
               ...{ kind: 'answered', status: response.statusCode ?? 0 },
               body: Buffer.concat(chunks).toString('utf8'),
               isSigned: response.headers['server-signature'] !== undefined,
--- a/src/soak/checker.ts
+++ b/src/soak/checker.ts
@@ -116,13 +116,13 @@
 
   constructor(private readonly limits: PromisedLimits) {}
 
-  recordRequest(made: Omit<CallerRequest, 'outcome'>): void {
-    this.#requests.set(made.id, { ...made, outcome: undefined });
+  recordRequest(request: Omit<CallerRequest, 'outcome'>): void {
+    this.#requests.set(request.id, { ...request, outcome: undefined });
   }
 
-  recordOutcome(id: string, end: RequestOutcome, at: number): void {
-    const made = this.#requests.get(id);
-    if (made !== undefined) made.outcome = { ...end, at };
+  recordOutcome(id: string, outcome: RequestOutcome, at: number): void {
+    const request = this.#requests.get(id);
+    if (request !== undefined) request.outcome = { ...outcome, at };
   }
 
   recordRun(run: Run): void {
@@ -130,9 +130,9 @@
   }
 
   recordProbe(target: string, at: number): void {
-    const known = this.#probes.get(target);
-    if (known === undefined) this.#probes.set(target, [at]);
-    else known.push(at);
+    const times = this.#probes.get(target);
+    if (times === undefined) this.#probes.set(target, [at]);
+    else times.push(at);
   }
 
   /** A target rejected a request and asked for a back-off. */
@@ -168,8 +168,9 @@
   /** How many tries ended in which way. */
   countOutcomes(): Readonly<Record<string, number>> {
     const counts: Record<string, number> = {};
-    for (const { outcome: end } of this.#requests.values()) {
-      const name = end?.kind === 'answered' ? String(end.status) : (end?.kind ?? 'open');
+    for (const { outcome } of this.#requests.values()) {
+      const name =
+        outcome?.kind === 'answered' ? String(outcome.status) : (outcome?.kind ?? 'open');
       counts[name] = (counts[name] ?? 0) + 1;
     }
     return counts;
@@ -201,128 +202,156 @@
   }
 
   #checkAnswers(): readonly Violation[] {
-    const breaks: Violation[] = [];
-    for (const { id, outcome: end } of this.#requests.values()) {
-      if (end?.kind !== 'answered' || end.status !== 200) continue;
-      if (end.isSigned && end.body === composeBody(id)) continue;
-      breaks.push({ promise: 'own and whole answers', what: `${id} got ${end.body.slice(0, 40)}` });
+    const violations: Violation[] = [];
+    for (const { id, outcome } of this.#requests.values()) {
+      if (outcome?.kind !== 'answered' || outcome.status !== 200) continue;
+      if (outcome.isSigned && outcome.body === composeBody(id)) continue;
+      violations.push({
+        promise: 'own and whole answers',
+        what: `${id} got ${outcome.body.slice(0, 40)}`,
+      });
     }
-    return breaks;
+    return violations;
   }
 
   #checkRuns(): readonly Violation[] {
-    const breaks: Violation[] = [];
+    const violations: Violation[] = [];
     const counts = new Map<string, number>();
     for (const { id } of this.#runs) counts.set(id, (counts.get(id) ?? 0) + 1);
     for (const [id, count] of counts) {
-      const made = this.#requests.get(id);
-      if (made === undefined || made.isRepeatable) continue;
-      if (count > 1) breaks.push({ promise: 'at most once', what: `${id} ran ${count} times` });
-      const { outcome: end } = made;
-      if (end?.kind === 'answered' && NOT_RUN_STATUSES.has(end.status)) {
-        breaks.push({ promise: 'true refusals', what: `${id} ran and was told ${end.status}` });
+      const request = this.#requests.get(id);
+      if (request === undefined || request.isRepeatable) continue;
+      if (count > 1) violations.push({ promise: 'at most once', what: `${id} ran ${count} times` });
+      const { outcome } = request;
+      if (outcome?.kind === 'answered' && NOT_RUN_STATUSES.has(outcome.status)) {
+        violations.push({
+          promise: 'true refusals',
+          what: `${id} ran and was told ${outcome.status}`,
+        });
       }
     }
-    return breaks;
+    return violations;
   }
 
   #checkDrains(): readonly Violation[] {
-    const breaks: Violation[] = [];
+    const violations: Violation[] = [];
     for (const { id, target, at } of this.#runs) {
       const drainedAt = this.#drains.get(target) ?? Infinity;
-      const late = at - drainedAt - this.limits.drainTime;
-      if (late <= TIMER_MARGIN_MS || !this.#isFaultFree(drainedAt, at)) continue;
-      breaks.push({ promise: 'leaving targets', what: `${id} ran at ${target} ${late} ms late` });
+      const delay = at - drainedAt - this.limits.drainTime;
+      if (delay <= TIMER_MARGIN_MS || !this.#isFaultFree(drainedAt, at)) continue;
+      violations.push({
+        promise: 'leaving targets',
+        what: `${id} ran at ${target} ${delay} ms late`,
+      });
     }
-    return breaks;
+    return violations;
   }
 
   /** What callers sent well after their daemon had passed on that a target drains never reaches that one from there. */
   #checkStatedDrains(): readonly Violation[] {
-    const breaks: Violation[] = [];
+    const violations: Violation[] = [];
     const counts = new Map<string, number>();
     for (const { id } of this.#runs) counts.set(id, (counts.get(id) ?? 0) + 1);
-    const told = new Map<string, number>();
+    const reportedAt = new Map<string, number>();
     for (const { id, target, saysDraining } of this.#runs) {
-      const made = this.#requests.get(id);
-      if (!saysDraining || made?.outcome?.kind !== 'answered' || made.outcome.status !== 200)
+      const request = this.#requests.get(id);
+      if (!saysDraining || request?.outcome?.kind !== 'answered' || request.outcome.status !== 200)
         continue;
       // Of a request that ran twice nobody knows whose answer was passed on.
       if (counts.get(id) !== 1) continue;
-      const key = `${made.daemon} ${target}`;
-      told.set(key, Math.min(told.get(key) ?? Infinity, made.outcome.at));
+      const key = `${request.daemon} ${target}`;
+      reportedAt.set(key, Math.min(reportedAt.get(key) ?? Infinity, request.outcome.at));
     }
     for (const { id, target, at } of this.#runs) {
-      const made = this.#requests.get(id);
-      const toldAt = told.get(`${made?.daemon} ${target}`) ?? Infinity;
-      if (made === undefined || made.sentAt <= toldAt + this.limits.drainTime) continue;
-      if (this.#isInterrupted(made.daemon, toldAt - MAX_RESTART_MS, at)) continue;
-      breaks.push({ promise: 'stated drains', what: `${id} ran at ${target} after it said so` });
+      const request = this.#requests.get(id);
+      const drainReportedAt = reportedAt.get(`${request?.daemon} ${target}`) ?? Infinity;
+      if (request === undefined || request.sentAt <= drainReportedAt + this.limits.drainTime)
+        continue;
+      if (this.#isInterrupted(request.daemon, drainReportedAt - MAX_RESTART_MS, at)) continue;
+      violations.push({
+        promise: 'stated drains',
+        what: `${id} ran at ${target} after it said so`,
+      });
     }
-    return breaks;
+    return violations;
   }
 
   #checkBackoffs(): readonly Violation[] {
-    const breaks: Violation[] = [];
+    const violations: Violation[] = [];
     const arrivals = [...this.#runs, ...this.#rejections];
     for (const { id, target, at, backoff } of this.#rejections) {
       const daemon = this.#requests.get(id)?.daemon ?? -1;
       const until = at + backoff;
       if (!this.#isFaultFree(at, until) || this.#isInterrupted(daemon, at - MAX_RESTART_MS, until))
         continue;
-      const later = arrivals.filter(
+      const laterArrivals = arrivals.filter(
         (it) =>
           it.target === target &&
           it.at > at + REJECTION_READ_MS &&
           it.at < until &&
           this.#requests.get(it.id)?.daemon === daemon,
       );
-      if (later.length <= MAX_REQUESTS_IN_BACKOFF) continue;
-      breaks.push({ promise: 'back-offs', what: `${target} got ${later.length} after ${id}` });
+      if (laterArrivals.length <= MAX_REQUESTS_IN_BACKOFF) continue;
+      violations.push({
+        promise: 'back-offs',
+        what: `${target} got ${laterArrivals.length} after ${id}`,
+      });
     }
-    return breaks;
+    return violations;
   }
 
   /** A planned stop cuts nothing that was sent before it or while callers could not know. */
   #checkStops(): readonly Violation[] {
-    const breaks: Violation[] = [];
+    const violations: Violation[] = [];
     for (const { daemon, at } of this.#stops) {
-      for (const { id, daemon: asked, sentAt, outcome: end } of this.#requests.values()) {
-        if (asked !== daemon || end?.kind !== 'cut' || end.at < at || sentAt > end.at) continue;
-        if (sentAt > at + this.limits.drainTime || !this.#isFaultFree(sentAt, end.at)) continue;
+      for (const { id, daemon: requestDaemon, sentAt, outcome } of this.#requests.values()) {
+        if (
+          requestDaemon !== daemon ||
+          outcome?.kind !== 'cut' ||
+          outcome.at < at ||
+          sentAt > outcome.at
+        )
+          continue;
+        if (sentAt > at + this.limits.drainTime || !this.#isFaultFree(sentAt, outcome.at)) continue;
         const hasRun = this.#runs.some((run) => run.id === id);
-        if (!hasRun && end.at - sentAt <= CLOSE_RACE_MS) continue;
-        breaks.push({ promise: 'planned stops', what: `${id} was cut ${end.at - at} ms after` });
+        if (!hasRun && outcome.at - sentAt <= CLOSE_RACE_MS) continue;
+        violations.push({
+          promise: 'planned stops',
+          what: `${id} was cut ${outcome.at - at} ms after`,
+        });
       }
     }
-    return breaks;
+    return violations;
   }
 
   #checkConfiguration(): readonly Violation[] {
-    const breaks: Violation[] = [];
+    const violations: Violation[] = [];
     for (const { id, service, at } of this.#runs) {
-      const made = this.#requests.get(id);
-      if (made === undefined || !id.startsWith('moving')) continue;
-      const isAllowed = this.#configurations.some((configured, index) => {
+      const request = this.#requests.get(id);
+      if (request === undefined || !id.startsWith('moving')) continue;
+      const isAllowed = this.#configurations.some((configuration, index) => {
         const next = this.#configurations[index + 1]?.at ?? Infinity;
-        const isKnown = configured.at <= at;
-        const isInForce = made.sentAt <= next + this.limits.applyTime + TIMER_MARGIN_MS;
-        return configured.service === service && isKnown && isInForce;
+        const isStored = configuration.at <= at;
+        const isInForce = request.sentAt <= next + this.limits.applyTime + TIMER_MARGIN_MS;
+        return configuration.service === service && isStored && isInForce;
       });
-      if (isAllowed || !this.#isFaultFree(made.sentAt - this.limits.applyTime, at)) continue;
-      breaks.push({ promise: 'configuration in force', what: `${id} went to ${service}` });
+      if (isAllowed || !this.#isFaultFree(request.sentAt - this.limits.applyTime, at)) continue;
+      violations.push({ promise: 'configuration in force', what: `${id} went to ${service}` });
     }
-    return breaks;
+    return violations;
   }
 
   #checkProbes(): readonly Violation[] {
-    const most = (this.limits.probesPerSecond * PROBE_WINDOW_MS) / 1000;
+    const maxProbes = (this.limits.probesPerSecond * PROBE_WINDOW_MS) / 1000;
     for (const [target, times] of this.#probes) {
       for (const [index, at] of times.entries()) {
-        const first = times[index - Math.ceil(most)] ?? -Infinity;
-        if (at - first >= PROBE_WINDOW_MS) continue;
+        const earlier = times[index - Math.ceil(maxProbes)] ?? -Infinity;
+        if (at - earlier >= PROBE_WINDOW_MS) continue;
         return [
-          { promise: 'probes', what: `${target} had over ${most} within ${PROBE_WINDOW_MS} ms` },
+          {
+            promise: 'probes',
+            what: `${target} had over ${maxProbes} within ${PROBE_WINDOW_MS} ms`,
+          },
         ];
       }
     }
@@ -337,19 +366,23 @@
       if (seen.has(id)) repeats.push(at);
       seen.add(id);
     }
-    const sent = [...this.#requests.values()].map(({ sentAt }) => sentAt).sort((a, b) => a - b);
+    const sentTimes = [...this.#requests.values()]
+      .map(({ sentAt }) => sentAt)
+      .sort((a, b) => a - b);
     const count = (times: readonly number[], from: number, to: number) =>
       times.filter((at) => at > from && at <= to).length;
     for (const end of repeats) {
-      const requests = Math.max(
-        ...[0, 0.5, 1].map((back) => {
-          const to = end - back * retryWindow;
-          return count(sent, to - retryWindow, to);
+      const requestCount = Math.max(
+        ...[0, 0.5, 1].map((windowsBack) => {
+          const to = end - windowsBack * retryWindow;
+          return count(sentTimes, to - retryWindow, to);
         }),
       );
-      const made = count(repeats, end - retryWindow, end);
-      if (made <= retryRatio * requests + retrySlack) continue;
-      return [{ promise: 'repeats', what: `${made} for ${requests} requests before ${end}` }];
+      const repeatCount = count(repeats, end - retryWindow, end);
+      if (repeatCount <= retryRatio * requestCount + retrySlack) continue;
+      return [
+        { promise: 'repeats', what: `${repeatCount} for ${requestCount} requests before ${end}` },
+      ];
     }
     return [];
   }
--- a/src/soak/daemon-process.ts
+++ b/src/soak/daemon-process.ts
@@ -39,12 +39,12 @@
 
   readonly #file: string;
 
-  /** @param onEnd called with the exit code when a process has ended that was not killed */
+  /** @param onExit called with the exit code when a process has ended that was not killed */
   constructor(
-    private readonly plan: DaemonOptions,
-    private readonly onEnd: (code: number) => void,
+    private readonly options: DaemonOptions,
+    private readonly onExit: (code: number) => void,
   ) {
-    this.#file = join(plan.directory, `${plan.ip}.ini`);
+    this.#file = join(options.directory, `${options.ip}.ini`);
   }
 
   /** Whether the process runs and is not frozen. */
@@ -72,7 +72,7 @@
     child.once('exit', (code) => {
       this.#child = undefined;
       this.#isFrozen = false;
-      if (code !== null) this.onEnd(code);
+      if (code !== null) this.onExit(code);
       setTimeout(() => this.start(), RESTART_DELAY_MS);
     });
   }
@@ -105,7 +105,7 @@
   }
 
   #composeSettings(): string {
-    const { ip, domain, seeds, store, cores, promiseSettings: promises } = this.plan;
+    const { ip, domain, seeds, store, cores, promiseSettings } = this.options;
     return [
       ...['[gateway]', `name = vm-${ip}`, `ip = ${ip}`, `domain = ${domain}`, 'region = r1'],
       ...[`callers = ${ip}:${DAEMON_PORTS.callers}`, `readiness = ${ip}:${DAEMON_PORTS.readiness}`],
@@ -113,7 +113,7 @@
       `peer_ports = ${DAEMON_PORTS.peers},${DAEMON_PORTS.peers + 9}`,
       `seeds = ${seeds.map((seed) => `${seed}:1`).join(',')}`,
       ...['[machine]', `cpu_share = ${cores}`, '[platform]', `address = ${formatAddress(store)}`],
-      ...['[promises]', ...promises],
+      ...['[promises]', ...promiseSettings],
     ].join('\n');
   }
 }
--- a/src/soak/link.ts
+++ b/src/soak/link.ts
@@ -18,7 +18,7 @@
 
   readonly #sockets = new Set<net.Socket>();
 
-  readonly #server = net.createServer({ allowHalfOpen: true }, (near) => this.#connect(near));
+  readonly #server = net.createServer({ allowHalfOpen: true }, (client) => this.#connect(client));
 
   constructor(private readonly upstream: Address) {}
 
@@ -50,20 +50,20 @@
     for (const socket of this.#sockets) socket.resetAndDestroy();
   }
 
-  #connect(near: net.Socket): void {
+  #connect(client: net.Socket): void {
     if (this.#fault.kind === 'reset') {
-      near.resetAndDestroy();
+      client.resetAndDestroy();
       return;
     }
-    const far = net.connect({ ...this.upstream, allowHalfOpen: true });
-    this.#forward(near, far, 'in');
-    this.#forward(far, near, 'out');
+    const server = net.connect({ ...this.upstream, allowHalfOpen: true });
+    this.#forward(client, server, 'in');
+    this.#forward(server, client, 'out');
   }
 
-  #forward(from: net.Socket, to: net.Socket, way: 'in' | 'out'): void {
+  #forward(from: net.Socket, to: net.Socket, direction: 'in' | 'out'): void {
     this.#sockets.add(from);
-    from.on('data', (chunk: Buffer) => this.#applyFault(() => to.write(chunk), way));
-    from.on('end', () => this.#applyFault(() => to.end(), way));
+    from.on('data', (chunk: Buffer) => this.#applyFault(() => to.write(chunk), direction));
+    from.on('end', () => this.#applyFault(() => to.end(), direction));
     from.on('error', () => to.resetAndDestroy());
     from.on('close', () => {
       this.#sockets.delete(from);
@@ -71,7 +71,7 @@
     });
   }
 
-  #applyFault(action: () => void, way: 'in' | 'out'): void {
+  #applyFault(action: () => void, direction: 'in' | 'out'): void {
     const fault = this.#fault;
     switch (fault.kind) {
       case 'none':
@@ -84,7 +84,7 @@
       case 'silent':
         return;
       case 'one-way':
-        if (fault.lost !== way) action();
+        if (fault.lost !== direction) action();
         return;
       default:
         fault satisfies never;
--- a/src/soak/run.ts
+++ b/src/soak/run.ts
@@ -81,7 +81,7 @@
   readonly #now = () => performance.now() - this.#startedAt;
 
   async run(): Promise<SoakReport> {
-    const { daemons, targets, callers, duration: length } = this.options;
+    const { daemons, targets, callers, duration } = this.options;
     const plan = drawPlan(this.#random, this.options);
     const ips = Array.from(
       { length: daemons },
@@ -95,12 +95,12 @@
     }
     for (const ip of ips) await this.#startDaemon(ip, ips);
     await this.#wait(DAEMON_START_MS);
-    const ends = new AbortController();
-    const calling = Array.from({ length: callers }, (_, index) =>
+    const stopped = new AbortController();
+    const callerRuns = Array.from({ length: callers }, (_, index) =>
       new Caller({
         ...{ name: `c${index}`, ips, checker: this.#checker, now: this.#now },
         random: createSeededRandom(this.options.seed * 1000 + index),
-      }).run(ends.signal),
+      }).run(stopped.signal),
     );
     const startedAt = this.#now();
     for (const event of plan) {
@@ -108,16 +108,16 @@
       this.options.onEvent?.(JSON.stringify(event));
       await this.#applyEvent(event);
     }
-    await this.#wait(startedAt + length - this.#now());
-    ends.abort();
-    await Promise.all(calling);
+    await this.#wait(startedAt + duration - this.#now());
+    stopped.abort();
+    await Promise.all(callerRuns);
     await this.#close();
-    const breaks = this.#checker.listViolations();
+    const violations = this.#checker.listViolations();
     return {
       seed: this.options.seed,
       events: plan.length,
       ends: this.#checker.countOutcomes(),
-      breaks,
+      breaks: violations,
     };
   }
 
@@ -145,17 +145,21 @@
     target.onProbe = () => this.#checker.recordProbe(target.incarnation, this.#now());
     target.behaviour = (request, response) => {
       const id = String(request.headers['attempt-id']);
-      const arrival = { id, target: target.incarnation, at: this.#now() };
+      const observation = { id, target: target.incarnation, at: this.#now() };
       const backoff = this.#backoffs.get(target);
       request.resume();
       if (backoff !== undefined) {
-        this.#checker.recordRejection({ ...arrival, backoff: backoff * MS_PER_SECOND });
+        this.#checker.recordRejection({ ...observation, backoff: backoff * MS_PER_SECOND });
         target.reject(response, String(backoff));
         return;
       }
-      this.#checker.recordRun({ ...arrival, service, saysDraining: target.draining !== undefined });
-      const work = MIN_WORK_MS + this.#random.next() * (MAX_WORK_MS - MIN_WORK_MS);
-      setTimeout(() => target.answer(request, response, composeBody(id)), work);
+      this.#checker.recordRun({
+        ...observation,
+        service,
+        saysDraining: target.draining !== undefined,
+      });
+      const serviceTime = MIN_WORK_MS + this.#random.next() * (MAX_WORK_MS - MIN_WORK_MS);
+      setTimeout(() => target.answer(request, response, composeBody(id)), serviceTime);
     };
     const link = new Link(target.address);
     const address = await link.start();
@@ -244,33 +248,33 @@
     }
   }
 
-  #scheduleFaultEnd(lasts: number, end: () => void): void {
+  #scheduleFaultEnd(duration: number, end: () => void): void {
     const now = this.#now();
-    this.#checker.recordFault(now, now + lasts);
-    setTimeout(end, lasts);
+    this.#checker.recordFault(now, now + duration);
+    setTimeout(end, duration);
   }
 
   /** A target leaves as the users' do: it says so, serves on for a while, and another one comes. */
-  async #drainTarget(index: number, toldAfter: number): Promise<void> {
-    const leaving = this.#targets[index];
-    const { service, target, link } = leaving;
-    const entry = KEYS.targets + target.incarnation;
-    const text = this.#store.get(entry);
+  async #drainTarget(index: number, storeDelay: number): Promise<void> {
+    const leavingTarget = this.#targets[index];
+    const { service, target, link } = leavingTarget;
+    const key = KEYS.targets + target.incarnation;
+    const text = this.#store.get(key);
     if (text === undefined) return;
     target.draining = '1';
     target.healthDraining = '1';
     setTimeout(() => {
-      this.#store.put(entry, text.replace('"ready"', '"draining"'));
+      this.#store.put(key, text.replace('"ready"', '"draining"'));
       this.#checker.recordDrain(target.incarnation, this.#now());
-    }, toldAfter);
+    }, storeDelay);
     this.#targets[index] = await this.#startTarget(service);
     setTimeout(
       () => {
-        this.#store.remove(entry);
+        this.#store.remove(key);
         link.stop();
         target.stop();
       },
-      toldAfter + LIMITS.drainTime * 2,
+      storeDelay + LIMITS.drainTime * 2,
     );
   }
 
--- a/src/standin/kv-server.ts
+++ b/src/standin/kv-server.ts
@@ -224,9 +224,12 @@
   #serveRange(query: URLSearchParams, isStale: boolean): Reply {
     const after = query.get('after') ?? '';
     const { items, version } = this.store.range(query.get('path_prefix') ?? '', isStale);
-    const found = items.filter(({ key }) => key > after);
-    const page = found.slice(0, PAGE_ITEMS).map(encodeItem);
-    return [200, { items: page, truncated: found.length > PAGE_ITEMS, store_revision: version }];
+    const remaining = items.filter(({ key }) => key > after);
+    const page = remaining.slice(0, PAGE_ITEMS).map(encodeItem);
+    return [
+      200,
+      { items: page, truncated: remaining.length > PAGE_ITEMS, store_revision: version },
+    ];
   }
 
   async #serveWatch(query: URLSearchParams, signal: AbortSignal): Promise<Reply> {
@@ -264,13 +267,13 @@
     const keys = [...txn.set_keys.map(({ key_file: key }) => key), ...txn.remove];
     if (keys.some((key) => READ_ONLY_PREFIXES.some((prefix) => key.startsWith(prefix))))
       return [403, {}];
-    const find = (key: string) => this.store.read(key);
-    const isMet = txn.expected_revision.every(({ key_file: key, revision }) => {
-      const result = find(key);
+    const read = (key: string) => this.store.read(key);
+    const areConditionsMet = txn.expected_revision.every(({ key_file: key, revision }) => {
+      const result = read(key);
       return (result.kind === 'found' ? result.item.version : 0) === revision;
     });
-    if (!isMet) {
-      const found = txn.expected_revision.map(({ key_file: key }) => find(key));
+    if (!areConditionsMet) {
+      const found = txn.expected_revision.map(({ key_file: key }) => read(key));
       const items = found.flatMap((result) => (result.kind === 'found' ? [result.item] : []));
       return [412, { items: items.map((item) => encodeItem(item as StoreItem)) }];
     }
@@ -283,8 +286,8 @@
   }
 
   #writeItem(key: string, value: string, lease: number): WriteResult {
-    const known = this.store.read(key);
-    const expect = known.kind === 'found' ? known.item.version : 0;
+    const current = this.store.read(key);
+    const expect = current.kind === 'found' ? current.item.version : 0;
     const text = Buffer.from(value, 'base64').toString('utf8');
     return this.store.swap({ key, value: text, expect, lease: lease === 0 ? '' : String(lease) });
   }
--- a/src/standin/store.ts
+++ b/src/standin/store.ts
@@ -205,11 +205,11 @@
   }
 
   renewLease(lease: string): LeaseResult {
-    const held = this.#leases.get(lease);
-    if (held === undefined) return { kind: 'lapsed' };
-    held.timer.cancel();
-    this.#setLease(lease, held.ttl);
-    return { kind: 'held', lease, ttl: held.ttl };
+    const current = this.#leases.get(lease);
+    if (current === undefined) return { kind: 'lapsed' };
+    current.timer.cancel();
+    this.#setLease(lease, current.ttl);
+    return { kind: 'held', lease, ttl: current.ttl };
   }
 
   /** Ends a lease as if its time were over. */
@@ -300,8 +300,8 @@
   }
 
   #forgetOldest(): void {
-    const forgotten = this.#history.splice(0, MIN_HISTORY_CHANGES);
-    this.#historyFloor = forgotten.at(-1)?.version ?? this.#historyFloor;
+    const removed = this.#history.splice(0, MIN_HISTORY_CHANGES);
+    this.#historyFloor = removed.at(-1)?.version ?? this.#historyFloor;
   }
 
   #settleWatchers(matches: (waiter: Watcher) => boolean, result: WatchResult): void {
@@ -327,8 +327,8 @@
   const write = async (apply: () => WriteResult): Promise<WriteResult> => {
     if (!(await prepare('write'))) return { kind: 'refused', reason: 'down' };
     const result = apply();
-    const lost = store.fault.kind === 'lose-write-replies';
-    return lost ? { kind: 'unknown', reason: 'reply lost' } : result;
+    const isReplyLost = store.fault.kind === 'lose-write-replies';
+    return isReplyLost ? { kind: 'unknown', reason: 'reply lost' } : result;
   };
   return {
     read: async (key) => ((await prepare('read')) ? store.read(key) : down),
--- a/src/standin/target.ts
+++ b/src/standin/target.ts
@@ -83,7 +83,7 @@
   const counts: TargetCounts = { calls: 0, shed: 0, probes: 0, connections: 0, cancelled: 0 };
   const runs = new Map<string, number>();
   let fault: TargetFault = { kind: 'none' };
-  const pace = new WorkSimulator();
+  const simulator = new WorkSimulator();
   let running = 0;
   let waiting: readonly (() => void)[] = [];
 
@@ -103,11 +103,11 @@
     running += 1;
   };
 
-  const buildReport = (notRun: boolean): string => {
+  const buildReport = (isNotRun: boolean): string => {
     const state = fault.kind === 'draining' ? 'draining' : 'ready';
     // The call being answered has left its slot already.
     const report = `state=${state}; in-flight=${running + waiting.length}`;
-    return notRun ? `not-run; ${report}` : report;
+    return isNotRun ? `not-run; ${report}` : report;
   };
 
   const shed = (response: ServerResponse) => {
@@ -135,10 +135,10 @@
   };
 
   const answer = (request: IncomingMessage, response: ServerResponse, bytes: number) => {
-    const wanted = Number(request.headers['x-answer-bytes'] ?? 0);
+    const paddingBytes = Number(request.headers['x-answer-bytes'] ?? 0);
     const body = JSON.stringify({
       ...{ token: request.headers['x-token'] ?? null, bytes, path: request.url },
-      padding: 'x'.repeat(wanted),
+      padding: 'x'.repeat(paddingBytes),
     });
     const call = fault.kind === 'wrong-answer' ? 'another-call' : request.headers[CALL_HEADER];
     response.writeHead(request.method === 'POST' ? 201 : 200, {
@@ -151,10 +151,10 @@
   /** Runs a call in its slot; returns the length of its body. */
   async function run(request: IncomingMessage, response: ServerResponse): Promise<number> {
     const bytes = await readBody(request);
-    const drawn = options.drawTime?.(request) ?? drawServiceTime(options.serviceTime, random);
+    const serviceTime = options.drawTime?.(request) ?? drawServiceTime(options.serviceTime, random);
     const cancelled = new AbortController();
     response.on('close', () => cancelled.abort());
-    await pace.run(drawn, cancelled.signal);
+    await simulator.run(serviceTime, cancelled.signal);
     if (cancelled.signal.aborted) {
       counts.cancelled += 1;
       return bytes;
@@ -187,8 +187,8 @@
     } finally {
       releaseSlot();
     }
-    const answered = response.destroyed || response.headersSent || fault.kind === 'cut';
-    if (!answered) answer(request, response, bytes);
+    const isAnswered = response.destroyed || response.headersSent || fault.kind === 'cut';
+    if (!isAnswered) answer(request, response, bytes);
   }
 
   const server = http.createServer((request, response) => {
@@ -214,7 +214,7 @@
         ...{ counts, runs },
         setFault: (next) => {
           fault = next;
-          pace.setSlowdown(next.kind === 'slow' ? next.factor : 1);
+          simulator.setSlowdown(next.kind === 'slow' ? next.factor : 1);
         },
         close: () => {
           server.close();
--- a/src/standin/work-simulator.ts
+++ b/src/standin/work-simulator.ts
@@ -25,7 +25,7 @@
         remaining: duration,
         updatedAt: performance.now(),
         timer: setTimeout(() => this.#finish(work), duration * this.#slowdown),
-        resolve: resolve,
+        resolve,
       };
       this.#pending.add(work);
       signal.addEventListener('abort', () => this.#finish(work), { once: true });
@@ -33,16 +33,16 @@
   }
 
   /** Makes each piece of work take `factor` times as long from now on. */
-  setSlowdown(factor: number): void {
-    if (factor === this.#slowdown) return;
+  setSlowdown(slowdown: number): void {
+    if (slowdown === this.#slowdown) return;
     const now = performance.now();
     for (const work of this.#pending) {
       work.remaining = Math.max(0, work.remaining - (now - work.updatedAt) / this.#slowdown);
       work.updatedAt = now;
       clearTimeout(work.timer);
-      work.timer = setTimeout(() => this.#finish(work), work.remaining * factor);
+      work.timer = setTimeout(() => this.#finish(work), work.remaining * slowdown);
     }
-    this.#slowdown = factor;
+    this.#slowdown = slowdown;
   }
 
   #finish(work: PendingWork): void {
