--- a/src/soak/caller.ts
+++ b/src/soak/caller.ts
@@ -1,14 +1,17 @@
-/** One caller of a soak: asks for addresses, keeps connections, and tells the witness what it saw. */
+/**
+ * One simulated caller of a soak: looks up addresses in the directory, keeps connections alive, and
+ * reports the outcome of each request to the checker.
+ */
 import http from 'node:http';
 import { type Random, pickItem } from '../kernel/index.js';
 import { HOST } from '../standin/index.js';
 import { DAEMON_PORTS } from './daemon-process.js';
 import type { RequestOutcome, SoakChecker } from './checker.js';
 
-/** What a caller is made from. */
+/** Options of a caller. */
 export interface CallerOptions {
   readonly name: string;
-  /** Addresses of all daemons; a daemon is known by its place. */
+  /** Addresses of all daemons; a daemon is identified by its index in this list. */
   readonly ips: readonly string[];
   readonly random: Random;
   readonly checker: SoakChecker;
@@ -17,19 +20,22 @@
 
 const ROUTES = ['safe', 'once', 'moving'] as const;
 
-/** How long an answer of the directory is kept, and a longer one now and then, in milliseconds. */
+/**
+ * How long an answer of the directory is used, in milliseconds, and a longer time that some answers
+ * are used for.
+ */
 const ADDRESS_TTL_MS = 5000;
 const LONG_ADDRESS_TTL_MS = 15_000;
 const LONG_TTL_PROBABILITY = 0.2;
 
 const DIRECTORY_TIMEOUT_MS = 1000;
 const DEADLINE_MS = 2500;
-/** A caller gives up a little after the time that it told, and some leave long before. */
+/** A caller gives up a little after the deadline that it sent; some give up long before. */
 const CALLER_TIMEOUT_MS = DEADLINE_MS + 500;
 const EARLY_TIMEOUT_PROBABILITY = 0.03;
 const MEAN_PAUSE_MS = 60;
 
-/** A caller. */
+/** A simulated caller, which sends one request at a time. */
 export class Caller {
   readonly #agent = new http.Agent({ keepAlive: true, maxSockets: 4 });
 
@@ -43,7 +49,7 @@
 
   constructor(private readonly options: CallerOptions) {}
 
-  /** Calls until the signal aborts. */
+  /** Sends requests until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const { random } = this.options;
     while (!signal.aborted) {
@@ -81,7 +87,7 @@
         : CALLER_TIMEOUT_MS;
     const outcome = await this.#send(ip, { id, route, timeout });
     checker.recordOutcome(id, outcome, now());
-    // Whoever is not answered asks anew for addresses.
+    // A caller that gets no answer looks up the addresses again.
     if (outcome.kind === 'cut' || outcome.kind === 'not-connected') this.#resolvedAt = -Infinity;
   }
 
--- a/src/soak/checker.ts
+++ b/src/soak/checker.ts
@@ -1,9 +1,9 @@
 /**
- * What callers, targets and the operators saw, and which promises that breaks. It knows nothing of
- * how the daemons work: only what was sent, answered and run, and when.
+ * Checks what callers, targets and operators observed in a soak against the gateway's promises. It
+ * knows nothing of how the daemons work: only what was sent, answered and run, and when.
  */
 
-/** How a caller's try ended. */
+/** How a caller's request ended; `left` means that the caller gave up. */
 export type RequestOutcome =
   | {
       readonly kind: 'answered';
@@ -11,7 +11,7 @@
       readonly body: string;
       readonly isSigned: boolean;
     }
-  /** The connection closed after the request was sent, without a whole answer. */
+  /** The connection closed after the request was sent, without a complete answer. */
   | { readonly kind: 'cut' }
   | { readonly kind: 'not-connected' }
   | { readonly kind: 'left' };
@@ -29,7 +29,7 @@
   readonly target: string;
   readonly service: string;
   readonly at: number;
-  /** Whether its answer says that the target drains. */
+  /** Whether the target's answer says that it is draining. */
   readonly saysDraining: boolean;
 }
 
@@ -37,11 +37,11 @@
   readonly id: string;
   readonly target: string;
   readonly at: number;
-  /** For how long the target wants nothing from the daemon, in milliseconds. */
+  /** How long the target asks the daemon to send nothing, in milliseconds. */
   readonly backoff: number;
 }
 
-/** A promise that was broken, and what shows it. */
+/** A promise that was broken, and the observation that shows it. */
 export interface Violation {
   readonly promise:
     | 'own and whole answers'
@@ -57,7 +57,11 @@
   readonly what: string;
 }
 
-/** What was agreed with the operators. Times in milliseconds. */
+/**
+ * The limits that the gateway's settings promise. Times are in milliseconds, `probesPerSecond` is
+ * per target, and `retryRatio` is the share of requests that may be repeated in a window, beyond
+ * `retrySlack`.
+ */
 export interface PromisedLimits {
   readonly drainTime: number;
   readonly applyTime: number;
@@ -67,34 +71,45 @@
   readonly retrySlack: number;
 }
 
-/** After a fault has ended, promises with a time in them hold again after this long. */
+/**
+ * Time to recover after a fault, in milliseconds, before promises with a time limit apply again.
+ */
 const RECOVERY_MS = 3000;
 
-/** Timers of a busy machine fire late; promises with a time in them are given this much more. */
+/** Added to time limits, in milliseconds, because timers fire late on a busy machine. */
 const TIMER_MARGIN_MS = 500;
 
-/** A request that crosses the close of its connection within this time was not read. */
+/**
+ * A request sent this shortly before its connection closes, in milliseconds, may not have been
+ * read.
+ */
 const CLOSE_RACE_MS = 200;
 
-/** A daemon takes some time to start again, or to wake, in milliseconds. */
+/** Time that a daemon may take to restart or resume, in milliseconds. */
 const MAX_RESTART_MS = 8000;
 
-/** A rejection is read within this time, in milliseconds; this many requests may come in the back-off all the same. */
+/**
+ * Time in which a daemon has read a rejection, in milliseconds, and the number of requests that it
+ * may still send to the target during the back-off.
+ */
 const REJECTION_READ_MS = 500;
 const MAX_REQUESTS_IN_BACKOFF = 2;
 
-/** Probes are counted over this long. */
+/** The window in which probes are counted, in milliseconds. */
 const PROBE_WINDOW_MS = 5000;
 
-/** Statuses that promise that a request has not run and will not. */
+/** Statuses that promise that a request has not run and will not run. */
 const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 
-/** Writes the body that a target answers to a request. */
+/**
+ * Composes the body with which a target answers a request; the id at both ends exposes mixed-up and
+ * incomplete answers.
+ */
 export function composeBody(id: string): string {
   return `${id} ${'x'.repeat(2000)} ${id}`;
 }
 
-/** Collects what was seen. */
+/** Records what was observed in a soak, and lists the promises that it breaks. */
 export class SoakChecker {
   readonly #requests = new Map<string, CallerRequest>();
 
@@ -116,56 +131,62 @@
 
   constructor(private readonly limits: PromisedLimits) {}
 
+  /** Records that a caller is about to send a request. */
   recordRequest(request: Omit<CallerRequest, 'outcome'>): void {
     this.#requests.set(request.id, { ...request, outcome: undefined });
   }
 
+  /** Records how a request ended for its caller. */
   recordOutcome(id: string, outcome: RequestOutcome, at: number): void {
     const request = this.#requests.get(id);
     if (request !== undefined) request.outcome = { ...outcome, at };
   }
 
+  /** Records that a target ran a request. */
   recordRun(run: Run): void {
     this.#runs.push(run);
   }
 
+  /** Records that a target received a health check. */
   recordProbe(target: string, at: number): void {
     const times = this.#probes.get(target);
     if (times === undefined) this.#probes.set(target, [at]);
     else times.push(at);
   }
 
-  /** A target rejected a request and asked for a back-off. */
+  /** Records that a target rejected a request and asked for a back-off. */
   recordRejection(rejection: Rejection): void {
     this.#rejections.push(rejection);
   }
 
-  /** A daemon is stopped, killed or frozen. */
+  /** Records that a daemon was stopped, killed or frozen. */
   recordInterruption(daemon: number, at: number): void {
     this.#interruptions.push({ daemon, at });
   }
 
-  /** The store holds from now on that a target leaves. */
+  /** Records that the store says from now on that a target is draining. */
   recordDrain(target: string, at: number): void {
     this.#drains.set(target, at);
   }
 
-  /** A daemon was told to stop. */
+  /** Records that a daemon was asked to stop. */
   recordStop(daemon: number, at: number): void {
     this.#stops.push({ daemon, at });
   }
 
-  /** The store holds from now on a configuration that sends the moving route to a service. */
+  /**
+   * Records that the store holds from now on a configuration that routes `/moving/` to a service.
+   */
   recordConfiguration(service: string, at: number): void {
     this.#configurations.push({ service, at });
   }
 
-  /** Something was made to fail; promises with a time in them do not bind meanwhile. */
+  /** Records a fault; promises with a time limit don't apply while it lasts. */
   recordFault(from: number, to: number): void {
     this.#faults.push({ from, to });
   }
 
-  /** How many tries ended in which way. */
+  /** Counts the requests by outcome: the status of the answer, or the kind of failure. */
   countOutcomes(): Readonly<Record<string, number>> {
     const counts: Record<string, number> = {};
     for (const { outcome } of this.#requests.values()) {
@@ -176,7 +197,7 @@
     return counts;
   }
 
-  /** Lists the promises that what was seen breaks. */
+  /** Lists the promises that the recorded observations break. */
   listViolations(): readonly Violation[] {
     return [
       ...this.#checkAnswers(),
@@ -191,12 +212,15 @@
     ];
   }
 
-  /** Whether a daemon was stopped, killed or frozen in a span: what it was told before may be gone. */
+  /**
+   * Whether a daemon was stopped, killed or frozen in a span of time: it may have lost what it
+   * learned before.
+   */
   #isInterrupted(daemon: number, from: number, to: number): boolean {
     return this.#interruptions.some((it) => it.daemon === daemon && it.at >= from && it.at <= to);
   }
 
-  /** Whether nothing was wrong from some time before a span to its end. */
+  /** Whether no fault was in force in a span of time or shortly before it. */
   #isFaultFree(from: number, to: number): boolean {
     return this.#faults.every((fault) => fault.from > to || fault.to + RECOVERY_MS < from);
   }
@@ -226,7 +250,7 @@
       if (outcome?.kind === 'answered' && NOT_RUN_STATUSES.has(outcome.status)) {
         violations.push({
           promise: 'true refusals',
-          what: `${id} ran and was told ${outcome.status}`,
+          what: `${id} ran but was answered ${outcome.status}`,
         });
       }
     }
@@ -247,7 +271,10 @@
     return violations;
   }
 
-  /** What callers sent well after their daemon had passed on that a target drains never reaches that one from there. */
+  /**
+   * Requests that were sent well after their daemon forwarded a target's draining report must not
+   * reach that target from this daemon.
+   */
   #checkStatedDrains(): readonly Violation[] {
     const violations: Violation[] = [];
     const counts = new Map<string, number>();
@@ -257,7 +284,7 @@
       const request = this.#requests.get(id);
       if (!saysDraining || request?.outcome?.kind !== 'answered' || request.outcome.status !== 200)
         continue;
-      // Of a request that ran twice nobody knows whose answer was passed on.
+      // When a request ran twice, it is unknown which run's answer was forwarded.
       if (counts.get(id) !== 1) continue;
       const key = `${request.daemon} ${target}`;
       reportedAt.set(key, Math.min(reportedAt.get(key) ?? Infinity, request.outcome.at));
@@ -270,7 +297,7 @@
       if (this.#isInterrupted(request.daemon, drainReportedAt - MAX_RESTART_MS, at)) continue;
       violations.push({
         promise: 'stated drains',
-        what: `${id} ran at ${target} after it said so`,
+        what: `${id} ran at ${target} after its draining report was forwarded`,
       });
     }
     return violations;
@@ -294,13 +321,16 @@
       if (laterArrivals.length <= MAX_REQUESTS_IN_BACKOFF) continue;
       violations.push({
         promise: 'back-offs',
-        what: `${target} got ${laterArrivals.length} after ${id}`,
+        what: `${target} got ${laterArrivals.length} requests in the back-off after ${id}`,
       });
     }
     return violations;
   }
 
-  /** A planned stop cuts nothing that was sent before it or while callers could not know. */
+  /**
+   * A planned stop must not cut requests that were sent before it, or so soon after it that callers
+   * could not know.
+   */
   #checkStops(): readonly Violation[] {
     const violations: Violation[] = [];
     for (const { daemon, at } of this.#stops) {
@@ -317,7 +347,7 @@
         if (!hasRun && outcome.at - sentAt <= CLOSE_RACE_MS) continue;
         violations.push({
           promise: 'planned stops',
-          what: `${id} was cut ${outcome.at - at} ms after`,
+          what: `${id} was cut ${outcome.at - at} ms after the stop`,
         });
       }
     }
@@ -350,7 +380,7 @@
         return [
           {
             promise: 'probes',
-            what: `${target} had over ${maxProbes} within ${PROBE_WINDOW_MS} ms`,
+            what: `${target} had over ${maxProbes} probes within ${PROBE_WINDOW_MS} ms`,
           },
         ];
       }
@@ -381,7 +411,10 @@
       const repeatCount = count(repeats, end - retryWindow, end);
       if (repeatCount <= retryRatio * requestCount + retrySlack) continue;
       return [
-        { promise: 'repeats', what: `${repeatCount} for ${requestCount} requests before ${end}` },
+        {
+          promise: 'repeats',
+          what: `${repeatCount} repeats for ${requestCount} requests before ${end} ms`,
+        },
       ];
     }
     return [];
--- a/src/soak/daemon-process.ts
+++ b/src/soak/daemon-process.ts
@@ -1,10 +1,10 @@
-/** One gateway daemon as a process of its own, started and ended by signals. */
+/** A gateway daemon in a process of its own, controlled by signals. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { writeFile } from 'node:fs/promises';
 import { join } from 'node:path';
 import { type Address, formatAddress } from '../kernel/index.js';
 
-/** Ports that every daemon has on its own loopback address. */
+/** Ports of every daemon; each daemon listens on its own loopback address. */
 export const DAEMON_PORTS = {
   callers: 18_244,
   readiness: 18_240,
@@ -12,21 +12,21 @@
   peers: 18_260,
 };
 
-/** What a daemon is started with. */
+/** Options of a daemon's process. */
 export interface DaemonOptions {
   readonly ip: string;
   readonly domain: string;
   readonly seeds: readonly string[];
   readonly store: Address;
-  /** The part of a core that it is told to have. */
+  /** The CPU share in its settings, in cores. */
   readonly cores: number;
-  /** Where its settings are written. */
+  /** Directory in which its settings file is written. */
   readonly directory: string;
-  /** The sections that all daemons share, as lines. */
+  /** Lines of the `[promises]` section, shared by all daemons. */
   readonly promiseSettings: readonly string[];
 }
 
-/** A process that ends without an order is started again after this long. */
+/** Delay before a process that ended is started again, in milliseconds. */
 const RESTART_DELAY_MS = 300;
 
 /** The process of one daemon; it is started again whenever it ends, until it is closed. */
@@ -39,7 +39,7 @@
 
   readonly #file: string;
 
-  /** @param onExit called with the exit code when a process has ended that was not killed */
+  /** @param onExit called with the exit code when the process ends other than by a signal */
   constructor(
     private readonly options: DaemonOptions,
     private readonly onExit: (code: number) => void,
@@ -52,7 +52,7 @@
     return this.#child !== undefined && !this.#isFrozen;
   }
 
-  /** The process's number; undefined while none runs. */
+  /** The process id; undefined while no process runs. */
   get pid(): number | undefined {
     return this.#child?.pid;
   }
@@ -63,7 +63,7 @@
     this.start();
   }
 
-  /** Starts the process. */
+  /** Starts the process unless it runs or was closed. */
   start(): void {
     if (this.#isClosed || this.#child !== undefined) return;
     const program = ['target/gateway.cjs', '--settings', this.#file];
@@ -77,16 +77,17 @@
     });
   }
 
-  /** Asks it to stop, as the platform does before planned work. */
+  /** Sends SIGTERM, as the platform does before planned maintenance. */
   stop(): void {
     this.#child?.kill('SIGTERM');
   }
 
+  /** Sends SIGKILL. */
   kill(): void {
     this.#child?.kill('SIGKILL');
   }
 
-  /** Makes it stand still for a while. */
+  /** Suspends the process for `time` milliseconds. */
   freeze(time: number): void {
     const child = this.#child;
     if (child === undefined || this.#isFrozen) return;
@@ -98,7 +99,7 @@
     }, time);
   }
 
-  /** Ends it for good. */
+  /** Kills the process and doesn't start it again. */
   close(): void {
     this.#isClosed = true;
     this.kill();
--- a/src/soak/link.ts
+++ b/src/soak/link.ts
@@ -1,18 +1,23 @@
-/** A link between two parts: a loopback proxy whose connections can be made to misbehave. */
+/**
+ * A network link to a store or a target: a loopback proxy that can delay, drop or reset its
+ * connections.
+ */
 import net from 'node:net';
 import type { Address } from '../kernel/index.js';
 
-/** What is wrong with a link; `in` is the way to the part behind it, `out` the way back. */
+/** A fault of a link. `in` is the direction to the upstream server, `out` the direction back. */
 export type LinkFault =
   | { readonly kind: 'none' }
+  /** Data is passed on after `time` milliseconds. */
   | { readonly kind: 'delay'; readonly time: number }
-  /** Connections are reset, and new ones at once. */
+  /** Open connections are reset, and new ones on arrival. */
   | { readonly kind: 'reset' }
   /** Connections stay open and carry nothing. */
   | { readonly kind: 'silent' }
+  /** Data in the direction `lost` is dropped. */
   | { readonly kind: 'one-way'; readonly lost: 'in' | 'out' };
 
-/** The proxy before one part. */
+/** The proxy in front of one upstream server. */
 export class Link {
   #fault: LinkFault = { kind: 'none' };
 
@@ -22,7 +27,7 @@
 
   constructor(private readonly upstream: Address) {}
 
-  /** Starts on a free loopback port. */
+  /** Starts on a free loopback port; rejects if it can't listen. */
   start(): Promise<Address> {
     return new Promise((resolve, reject) => {
       this.#server.once('error', reject);
@@ -33,14 +38,17 @@
     });
   }
 
-  /** Sets what is wrong from now on. Bytes that a silent link swallowed are lost with their connection. */
+  /**
+   * Sets the fault in force. Ending a silent or one-way fault resets the connections, because bytes
+   * that it dropped would be missing from their streams.
+   */
   setFault(fault: LinkFault): void {
     const wasLossy = this.#fault.kind === 'silent' || this.#fault.kind === 'one-way';
     this.#fault = fault;
     if (fault.kind === 'reset' || wasLossy) this.#resetAll();
   }
 
-  /** Closes everything. */
+  /** Stops listening and resets every connection. */
   stop(): void {
     this.#server.close();
     this.#resetAll();
--- a/src/soak/plan.ts
+++ b/src/soak/plan.ts
@@ -1,9 +1,15 @@
-/** Draws what goes wrong in a soak, and what the operators do meanwhile: one seed, one plan. */
+/**
+ * Draws the faults of a soak and the actions of the operators meanwhile. Equal seeds give equal
+ * plans.
+ */
 import { type Random, pickItem } from '../kernel/index.js';
 import type { Fault } from '../standin/index.js';
 import type { LinkFault } from './link.js';
 
-/** One entry of a plan; `at` and `lasts` are milliseconds, parts are named by their number. */
+/**
+ * One event of a plan. `at` and `lasts` are in milliseconds; daemons and targets are given by their
+ * index.
+ */
 export type SoakEvent = { readonly at: number } & (
   | { readonly kind: 'store'; readonly fault: Fault; readonly lasts: number }
   | {
@@ -22,9 +28,12 @@
   | { readonly kind: 'freeze'; readonly daemon: number; readonly lasts: number }
   | { readonly kind: 'configure' }
   | { readonly kind: 'compact' }
-  /** The target says so in its answers at once, and in the store after a time. */
+  /**
+   * The target reports in its answers at once that it drains, and in the store after `toldAfter`
+   * milliseconds.
+   */
   | { readonly kind: 'drain'; readonly target: number; readonly toldAfter: number }
-  /** The target rejects what it gets, and asks for a back-off in seconds. */
+  /** The target rejects its requests and asks for a back-off of `backoff` seconds. */
   | {
       readonly kind: 'reject';
       readonly target: number;
@@ -33,7 +42,7 @@
     }
 );
 
-/** How large the system is and how long the run takes. */
+/** The size of the system and the duration of the run. */
 export interface SoakSize {
   readonly daemons: number;
   readonly targets: number;
@@ -41,11 +50,14 @@
   readonly duration: number;
 }
 
-/** Time between two entries of a plan, in milliseconds: they come in series and overlap. */
+/** Mean time between two events, in milliseconds; short enough for faults to overlap. */
 const MEAN_GAP_MS = 700;
 const MAX_ADDED_DURATION_MS = 4000;
 
-/** The part of leaving targets of which the store is told late, and how late, in milliseconds. */
+/**
+ * The share of draining targets that are late to report it in the store, and the longest delay in
+ * milliseconds.
+ */
 const LATE_DRAIN_PROBABILITY = 0.5;
 const MAX_DRAIN_DELAY_MS = 8000;
 
@@ -126,7 +138,7 @@
   }
 }
 
-/** Draws a plan; nothing happens in its last part, so that the system can heal. */
+/** Draws a plan. The last fifth of the run has no events, so that the system can recover. */
 export function drawPlan(random: Random, size: SoakSize): readonly SoakEvent[] {
   const events: SoakEvent[] = [];
   const end = size.duration * 0.8;
--- a/src/soak/run.ts
+++ b/src/soak/run.ts
@@ -1,4 +1,7 @@
-/** A soak: real daemons as processes under calls, while a drawn plan makes everything around them fail. */
+/**
+ * A soak: real daemons run as processes under load, while a drawn plan of faults is applied to the
+ * store, the targets, the links and the daemons.
+ */
 import { mkdtemp, rm } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -11,14 +14,14 @@
 import { type SoakEvent, type SoakSize, drawPlan } from './plan.js';
 import { type PromisedLimits, type Violation, SoakChecker, composeBody } from './checker.js';
 
-/** What a soak is told. */
+/** Options of a soak. */
 export interface SoakOptions extends SoakSize {
   readonly seed: number;
   readonly callers: number;
   readonly onEvent?: (text: string) => void;
 }
 
-/** What a soak found. */
+/** The result of a soak. */
 export interface SoakReport {
   readonly seed: number;
   readonly events: number;
@@ -33,12 +36,15 @@
 
 const GRACE_S = 6;
 
-/** Every run has loopback addresses of its own, so that several may go on at once. */
+/** Each run has its own range of loopback addresses, so that several may run at once. */
 const LOOPBACK_PREFIX = `127.${10 + (process.pid % 200)}.9`;
 const FIRST_HOST_NUMBER = 20;
 const MS_PER_SECOND = 1000;
+/** Time that the daemons get to start before the callers begin. */
 const DAEMON_START_MS = 1500;
+/** Time that a killed daemon takes to serve again; it counts as a fault. */
 const DAEMON_RESTART_MS = 1000;
+/** Bounds of the time in which a target answers a request. */
 const MIN_WORK_MS = 10;
 const MAX_WORK_MS = 80;
 
@@ -62,12 +68,14 @@
 
   readonly #daemons: DaemonProcess[] = [];
 
-  /** Seconds for which targets that reject what they get want nothing. */
+  /**
+   * The back-off in seconds that a target asks for, for the targets that reject their requests now.
+   */
   readonly #backoffs = new Map<RecordingTarget, number>();
 
   readonly #targets: LinkedTarget[] = [];
 
-  /** Where the daemons' settings are written. */
+  /** The directory of the daemons' settings files. */
   #settingsDirectory = '';
 
   #configurationVersion = 0;
@@ -254,7 +262,10 @@
     setTimeout(end, duration);
   }
 
-  /** A target leaves as the users' do: it says so, serves on for a while, and another one comes. */
+  /**
+   * Drains a target as a real one drains: it reports that it is draining, serves on for a while,
+   * and a new target takes its place.
+   */
   async #drainTarget(index: number, storeDelay: number): Promise<void> {
     const leavingTarget = this.#targets[index];
     const { service, target, link } = leavingTarget;
@@ -290,7 +301,7 @@
   }
 }
 
-/** Plays one soak. */
+/** Runs one soak and resolves with its result. */
 export function runSoak(options: SoakOptions): Promise<SoakReport> {
   return new Soak(options).run();
 }
--- a/src/standin/index.ts
+++ b/src/standin/index.ts
@@ -1,4 +1,7 @@
-/** Stand-ins for the outside systems: the platform's service and targets. */
+/**
+ * Stand-ins for the outside systems, for tests and tools: the platform's store, targets and a
+ * site's configuration.
+ */
 export * from './store.js';
 export * from './target.js';
 export * from './kv-server.js';
--- a/src/standin/kv-server.ts
+++ b/src/standin/kv-server.ts
@@ -1,4 +1,7 @@
-/** The HTTP front of the store's stand-in: the users' protocol, with the faults that its page tells of. */
+/**
+ * The HTTP server of the stand-in for the platform's store. It speaks the platform's key-value
+ * protocol and produces the faults that the platform's documentation describes.
+ */
 import http, { type IncomingMessage, type ServerResponse } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
 import { type Address, type Clock, createSystemClock } from '../kernel/index.js';
@@ -15,16 +18,18 @@
   readonly remove: readonly string[];
 }
 
-/** What is answered: a status and a body, or that the connection is reset, or nothing ever. */
+/** A reply: a status and a body, a reset of the connection, or no reply at all. */
 type Reply = readonly [status: number, body: object] | 'reset' | 'nothing';
 
-/** Items in a page; the users' store gives some hundreds. */
+/**
+ * Items in a page; small, so that tests need several pages. The real store returns some hundreds.
+ */
 const PAGE_ITEMS = 50;
 
 const MAX_WATCH_WAIT_MS = 30_000;
 const MIN_LEASE_TTL_MS = 1000;
 
-/** Keys that only the operators and the targets write. */
+/** Keys that only the operators and the targets may write. */
 const READ_ONLY_PREFIXES = ['op/', 'servers/'];
 
 const UNAVAILABLE: Reply = [503, {}];
@@ -49,9 +54,9 @@
   return Buffer.concat(chunks).toString('utf8');
 }
 
-/** The stand-in. */
+/** A stand-in for the platform's store, reached over HTTP. */
 export class KvServer {
-  /** What it holds, and what goes wrong with every call. */
+  /** The stored items and the fault in force. */
   readonly store: Store;
 
   readonly #sockets = new Set<Socket>();
@@ -62,14 +67,17 @@
     this.#handleRequest(request, response).catch(() => response.destroy());
   });
 
-  /** Calls received, by path. */
+  /** Number of calls received, by path. */
   readonly calls: Record<string, number> = {};
 
   constructor(private readonly clock: Clock = createSystemClock()) {
     this.store = new Store(clock);
   }
 
-  /** Starts on a free port of the loopback interface, or on the one that is given. */
+  /**
+   * Starts listening, on a free loopback port unless an address is given; rejects if it can't
+   * listen.
+   */
   start(address: Address = { host: '127.0.0.1', port: 0 }): Promise<Address> {
     this.#server.keepAliveTimeout = 60_000;
     this.#server.on('connection', (socket) => {
@@ -86,23 +94,23 @@
     });
   }
 
-  /** Where it listens once it is started. */
+  /** The address that it listens on; port 0 before the start. */
   get address(): Address {
     return this.#address;
   }
 
-  /** Stops and closes every connection. */
+  /** Stops listening and closes every connection. */
   stop(): void {
     this.#server.close();
     this.cutConnections();
   }
 
-  /** Closes every connection, watches that wait included. */
+  /** Closes every connection, including those of pending watches. */
   cutConnections(): void {
     for (const socket of this.#sockets) socket.destroy();
   }
 
-  /** What goes wrong with every call. */
+  /** The fault that applies to every call. */
   get fault(): Fault {
     return this.store.fault;
   }
@@ -111,7 +119,7 @@
     this.store.setFault(fault);
   }
 
-  /** Writes an item as the operators or a target would. */
+  /** Writes an item as the operators or a target would, and returns its version. */
   put(key: string, text: string): number {
     return this.store.put(key, text);
   }
@@ -121,13 +129,13 @@
     this.store.drop(key);
   }
 
-  /** Reads an item's text. */
+  /** Reads an item's text; undefined when there is no such item. */
   get(key: string): string | undefined {
     const result = this.store.read(key);
     return result.kind === 'found' ? result.item.value : undefined;
   }
 
-  /** Drops the history, so that older watches must read anew. */
+  /** Drops the history, so that older watches are answered with 410 and have to read again. */
   compact(): void {
     this.store.compact();
   }
@@ -150,7 +158,7 @@
     response.end(JSON.stringify(answer[1]));
   }
 
-  /** For demos and tests, which may run in another process. */
+  /** Serves the control paths, by which demos and tests in another process set faults and VMs. */
   #handleControl(method: string, url: URL, body: string): Reply {
     if (url.pathname === '/control/counts') return [200, this.store.counts];
     if (url.pathname === '/control/fault') {
@@ -262,7 +270,7 @@
     return [200, { lease: Number(lease.lease), ttl_ms: lease.ttl }];
   }
 
-  /** Does all or nothing: conditions are checked before anything is written. */
+  /** Commits all writes or none: every condition is checked before anything is written. */
   #commit(txn: Txn): Reply {
     const keys = [...txn.set_keys.map(({ key_file: key }) => key), ...txn.remove];
     if (keys.some((key) => READ_ONLY_PREFIXES.some((prefix) => key.startsWith(prefix))))
--- a/src/standin/site.ts
+++ b/src/standin/site.ts
@@ -1,4 +1,7 @@
-/** A stand-in for the users' targets and what they and the operators keep in the store: builders, and a target that counts. */
+/**
+ * A stand-in for a site: builders for the configuration that its operators store and for the
+ * records that its targets store, and a target that records what it runs.
+ */
 import http, { type IncomingMessage, type ServerResponse } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
 import { type Address, formatAddress } from '../kernel/index.js';
@@ -12,19 +15,23 @@
   readonly timeout?: number;
   readonly attempts?: number;
   readonly aim?: number;
-  /** Regions in which its requests may run. */
+  /** Regions in which the rule's requests may run. */
   readonly regions?: unknown;
 }
 
+/** The host name that the configuration serves. */
 export const HOST = 'test.example';
 
-/** What a configuration says of its services besides their names. */
+/** Settings of a configuration's services besides their names. */
 export interface ServiceOptions {
-  /** Requests a second that a cold target bears; none is named unless given. */
+  /**
+   * The number of requests a second that a cold target accepts; left out of the configuration
+   * unless given.
+   */
   readonly coldRate?: unknown;
 }
 
-/** Writes a configuration as the operator would. */
+/** Composes a configuration as the operators store it. */
 export function writeConfiguration(
   version: number,
   rules: readonly RuleOptions[],
@@ -62,19 +69,19 @@
   });
 }
 
-/** What a target's entry says. */
+/** The contents of a target's record in the store. */
 export interface TargetRecordOptions {
   readonly service?: string;
   readonly state?: string;
   readonly domain?: string;
   readonly version?: string;
   readonly seq?: number;
-  /** For how long it is still cold, in milliseconds. */
+  /** How long the target is still cold, in milliseconds. */
   readonly cold?: number;
   readonly born?: number;
 }
 
-/** Writes a target's entry as the target would. */
+/** Composes a target's record as the target stores it. */
 export function writeTarget(address: Address, draft: TargetRecordOptions = {}): string {
   const { service = 'alpha', state = 'ready', domain = 'd1', version = 'v1' } = draft;
   const { seq = 1, cold = 0, born = 0 } = draft;
@@ -86,44 +93,56 @@
   });
 }
 
-/** How a stand-in target treats one request. */
+/** How a stand-in target handles one request. */
 export type Behaviour = (request: IncomingMessage, response: ServerResponse) => void;
 
-/** A target that counts what it runs. */
+/** A stand-in target that records the requests that it runs. */
 export class RecordingTarget {
   /** Identifiers of the requests that it ran, in order. */
   readonly ran: string[] = [];
 
+  /** Bodies of the requests that it answered itself, in order; a `behaviour` bypasses them. */
   readonly bodies: Buffer[] = [];
 
+  /** Headers of the requests that it ran, in order. */
   readonly seenHeaders: http.IncomingHttpHeaders[] = [];
 
-  /** Requests whose connection closed before they were answered. */
+  /** Identifiers of the requests whose connection closed before they were answered. */
   readonly cancelled: string[] = [];
 
+  /** Number of connections opened to it. */
   connections = 0;
 
-  /** Health checks that it answered. */
+  /** Number of health checks that it answered. */
   probes = 0;
 
+  /** Called on each health check. */
   onProbe: (() => void) | undefined;
 
+  /** The slowdown that it reports in the `Server-Load` header. */
   slowdown = 100;
 
-  /** For how long it says in health answers that it is cold, in milliseconds; says nothing unless set. */
+  /**
+   * How long it is still cold, in milliseconds, as reported in health answers; not reported unless
+   * set.
+   */
   coldLeft: number | undefined;
 
-  /** What it says in answers of the rate that it takes; says nothing unless set. */
+  /** The rate that it advertises in answers to calls; not advertised unless set. */
   advertisedRate: string | string[] | undefined;
 
-  /** What it says of draining in answers to calls, and in health answers; says nothing unless set. */
+  /**
+   * Its draining header in answers to calls (`draining`) and in health answers (`healthDraining`);
+   * not sent unless set.
+   */
   draining: string | undefined;
 
   healthDraining: string | undefined;
 
+  /** Handles the requests that it runs, in place of a successful answer. */
   behaviour: Behaviour | undefined;
 
-  /** How often its process has ended and taken all that it ran with it. */
+  /** How often its process has crashed, losing all the requests that it ran. */
   crashes = 0;
 
   readonly #sockets = new Set<Socket>();
@@ -136,6 +155,7 @@
 
   constructor(readonly incarnation: string) {}
 
+  /** Starts listening on a free loopback port. */
   async start(): Promise<this> {
     this.#server.on('connection', (socket) => {
       this.connections += 1;
@@ -149,19 +169,20 @@
     return this;
   }
 
+  /** Stops listening and closes every connection. */
   stop(): void {
     this.#server.close();
     for (const socket of this.#sockets) socket.destroy();
   }
 
-  /** Ends as a process does that crashes: its connections are reset, and nobody listens. */
+  /** Ends as a crashing process does: its connections are reset and nothing listens on its port. */
   crash(): void {
     this.crashes += 1;
     this.#server.close();
     for (const socket of this.#sockets) socket.resetAndDestroy();
   }
 
-  /** Starts again at the address that it had, knowing nothing of before. */
+  /** Starts again at the same address, without any state of the former process. */
   async restart(): Promise<void> {
     const { host, port } = this.address;
     await new Promise<void>((resolve) => {
@@ -174,7 +195,7 @@
     return this.#server.listening;
   }
 
-  /** Answers a request well. */
+  /** Answers a request successfully. */
   answer(request: IncomingMessage, response: ServerResponse, body = this.incarnation): void {
     response.writeHead(200, {
       ...{ 'Attempt-Id': request.headers['attempt-id'], 'Server-Signature': 'sig.1' },
@@ -185,7 +206,7 @@
     response.end(body);
   }
 
-  /** Answers that it did not run a request, and may ask for some seconds without any. */
+  /** Answers that it did not run a request; `retryAfter` asks for a back-off, in seconds. */
   reject(response: ServerResponse, retryAfter?: string): void {
     response.writeHead(503, {
       ...{ 'Not-Executed': '1', ...this.#describeDraining() },
--- a/src/standin/store.ts
+++ b/src/standin/store.ts
@@ -1,7 +1,7 @@
 /**
- * The state of the stand-in for the platform's store: revisions, leases, history, and its faults.
+ * The state of the stand-in for the platform's store: items, revisions, leases, history and faults.
  *
- * It stands for an outside service in demos and tests; no part of the product depends on it.
+ * It represents an outside service in demos and tests; no part of the product depends on it.
  */
 import { type Clock, type Timer, formatAddress } from '../kernel/index.js';
 import {
@@ -19,24 +19,26 @@
   type WriteResult,
 } from '../platform/index.js';
 
-/** A fault of the store. Each stays until it is replaced by `none`. */
+/** A fault of the store. It lasts until it is replaced by `none`. */
 export type Fault =
   | { readonly kind: 'none' }
   /** Every connection is reset. */
   | { readonly kind: 'down' }
   /** No call is answered. */
   | { readonly kind: 'silent' }
-  /** Every call is refused: nothing was done. */
+  /** Every call is refused with 503 and has no effect. */
   | { readonly kind: 'busy' }
-  /** Every call is refused as one too many. */
+  /** Every call is refused with 429, as over the rate limit. */
   | { readonly kind: 'many' }
+  /** Every call is served after `delay` milliseconds. */
   | { readonly kind: 'slow'; readonly delay: number }
-  /** Writes are done, `after` milliseconds later if that is told, and never answered. */
+  /** Writes take effect, after `after` milliseconds if given, and are never answered. */
   | { readonly kind: 'lose-write-replies'; readonly after?: number }
-  /** Watches hear nothing. */
+  /** Watches receive no changes. */
   | { readonly kind: 'skip-watches' }
+  /** Pending watches are closed once, when the fault begins. */
   | { readonly kind: 'close-watches' }
-  /** Reads that may be stale, and the list of VMs, are as they were when the fault began. */
+  /** Stale reads and the list of VMs return what the store held when the fault began. */
   | { readonly kind: 'stale' };
 
 /** The kinds of {@link Fault}, for checking input. */
@@ -45,7 +47,10 @@
   ...(['skip-watches', 'close-watches', 'stale'] as const),
 ];
 
-/** The rates of the real service, per second, for all callers together. */
+/**
+ * The rate limits of the store, per second, for all callers together. The defaults are those of the
+ * real service.
+ */
 export interface StoreRates {
   readonly writes: number;
   readonly reads: number;
@@ -53,20 +58,20 @@
 
 const DEFAULT_RATES: StoreRates = { writes: 400, reads: 2000 };
 
-/** What a renewal of a lease takes of the rate of reads. */
+/** Tokens of the rate of reads that a renewal of a lease takes. */
 const RENEWAL_READ_TOKENS = 0.1;
 
-/** Changes that are remembered for watches, at least. */
+/** The number of latest changes that are kept for watches, at least. */
 const MIN_HISTORY_CHANGES = 5000;
 
-/** An item with what the store keeps besides. */
+/** A stored item with its bookkeeping. */
 export interface StoreItem extends StoredValue {
   readonly createdAt: number;
-  /** Empty when there is none. */
+  /** Empty when the item has no lease. */
   readonly lease: string;
 }
 
-/** A change that a watch tells of; `item` is undefined for a removal. */
+/** A change that a watch reports; `item` is undefined for a removal. */
 export interface StoreChange {
   readonly key: string;
   readonly version: number;
@@ -83,7 +88,7 @@
   readonly timer: Timer;
 }
 
-/** The stand-in's store. */
+/** The stand-in's store, in memory. */
 export class Store {
   readonly #items = new Map<string, StoreItem>();
 
@@ -91,7 +96,7 @@
 
   #history: StoreChange[] = [];
 
-  /** Changes up to this version are forgotten. */
+  /** Changes up to this version are no longer in the history. */
   #historyFloor = 0;
 
   readonly #leases = new Map<string, Lease>();
@@ -109,7 +114,7 @@
   /** The fault in force. */
   fault: Fault = { kind: 'none' };
 
-  /** Calls answered and refused since the start. */
+  /** Calls admitted (reads, writes) and refused since the start, and the watches pending now. */
   readonly counts = { reads: 0, writes: 0, refused: 0, watching: 0 };
 
   constructor(
@@ -125,7 +130,7 @@
     return this.#version;
   }
 
-  /** Sets the fault in force and ends what it ends. */
+  /** Sets the fault in force, and ends pending watches if the fault closes them. */
   setFault(fault: Fault): void {
     this.#staleItems = new Map(this.#items);
     this.fault = fault;
@@ -134,7 +139,7 @@
     }
   }
 
-  /** Takes one token of the rate for reads or writes; false when the rate is exceeded. */
+  /** Takes a token from the rate of reads or writes; false when the rate is exceeded. */
   admit(kind: 'read' | 'write' | 'renewal'): boolean {
     const bucket = kind === 'write' ? this.#writes : this.#reads;
     if (!bucket.take(kind === 'renewal' ? RENEWAL_READ_TOKENS : 1)) {
@@ -145,6 +150,7 @@
     return true;
   }
 
+  /** Reads an item; `isStale` allows a stale answer. */
   read(key: string, isStale = false): ReadResult {
     const item = this.#getItems(isStale).get(key);
     return item === undefined ? { kind: 'absent' } : { kind: 'found', item };
@@ -161,6 +167,7 @@
     return { items, version: this.#version };
   }
 
+  /** Writes an item if its version is `expect`; 0 means that there is no such item. */
   swap({ key, value, expect, lease = '' }: CompareAndSwap): WriteResult {
     if (Buffer.byteLength(value) > MAX_VALUE_BYTES) return { kind: 'refused', reason: 'too large' };
     if (lease !== '' && !this.#leases.has(lease)) {
@@ -172,6 +179,7 @@
     return { kind: 'written', version: this.#version };
   }
 
+  /** Removes an item if its version is `expect`. */
   remove({ key, expect }: Removal): WriteResult {
     const current = this.#items.get(key);
     if ((current?.version ?? 0) !== expect) return { kind: 'conflict', current };
@@ -179,7 +187,7 @@
     return { kind: 'written', version: this.#version };
   }
 
-  /** Writes an item whatever stands there, as its owner would. */
+  /** Writes an item without a version check, as its owner would, and returns its version. */
   put(key: string, value: string, lease = ''): number {
     this.#version += 1;
     const version = this.#version;
@@ -190,13 +198,14 @@
     return version;
   }
 
-  /** Removes an item whatever it holds, as its owner would. */
+  /** Removes an item without a version check, as its owner would. */
   drop(key: string): void {
     this.#version += 1;
     if (!this.#items.delete(key)) return;
     this.#recordChange({ key, version: this.#version, item: undefined });
   }
 
+  /** Grants a new lease for `ttl` milliseconds. */
   grantLease(ttl: number): LeaseResult {
     this.#leaseCount += 1;
     const lease = String(this.#leaseCount);
@@ -204,6 +213,7 @@
     return { kind: 'held', lease, ttl };
   }
 
+  /** Renews a lease for its full time, unless it has lapsed. */
   renewLease(lease: string): LeaseResult {
     const current = this.#leases.get(lease);
     if (current === undefined) return { kind: 'lapsed' };
@@ -212,7 +222,7 @@
     return { kind: 'held', lease, ttl: current.ttl };
   }
 
-  /** Ends a lease as if its time were over. */
+  /** Ends a lease as if its time had run out, and removes its items. */
   lapseLease(lease: string): void {
     this.#leases.get(lease)?.timer.cancel();
     this.#leases.delete(lease);
@@ -221,24 +231,30 @@
     }
   }
 
-  /** Ends every lease, as a store that was away for long does. */
+  /** Ends every lease, as a store does that was down for long. */
   lapseAll(): void {
     for (const lease of [...this.#leases.keys()]) this.lapseLease(lease);
   }
 
-  /** Forgets the history, so that older watches must read anew. */
+  /** Drops the history, so that older watches have to read again. */
   compact(): void {
     this.#history = [];
     this.#historyFloor = this.#version;
   }
 
-  /** Lists the changes of a prefix after a version; undefined when that history is gone. */
+  /**
+   * Lists the changes under a prefix after a version; undefined when the history doesn't reach back
+   * that far.
+   */
   listChanges(prefix: string, after: number): readonly StoreChange[] | undefined {
     if (after < this.#historyFloor) return undefined;
     return this.#history.filter(({ key, version }) => version > after && key.startsWith(prefix));
   }
 
-  /** Waits for a change of `prefix` after `after`; `wait` bounds it in milliseconds. */
+  /**
+   * Waits until something under `prefix` has changed since version `after`, for at most `wait`
+   * milliseconds.
+   */
   watch(
     prefix: string,
     after: number,
@@ -266,7 +282,7 @@
     });
   }
 
-  /** Adds a VM or replaces the one at its address. */
+  /** Adds a VM, or replaces the one at its address. */
   putVm(vm: Vm): void {
     this.put(KEYS.vms + formatAddress(vm.address), JSON.stringify(vm));
   }
@@ -276,6 +292,7 @@
     this.drop(KEYS.vms + address);
   }
 
+  /** Lists the VMs. */
   listVms(): readonly Vm[] {
     return this.range(KEYS.vms).items.map(({ value }) => JSON.parse(value) as Vm);
   }
@@ -317,7 +334,10 @@
   'many',
 ]);
 
-/** Creates a platform that calls a store in this process, with the store's faults. */
+/**
+ * Creates a platform that calls a store in this process, and applies the store's faults and rates.
+ * Watches wait for at most `watchWait` milliseconds.
+ */
 export function createStorePlatform(store: Store, clock: Clock, watchWait = 20_000): Platform {
   const down = { kind: 'unavailable', reason: 'down' } as const;
   const prepare = async (kind: 'read' | 'write'): Promise<boolean> => {
--- a/src/standin/target.ts
+++ b/src/standin/target.ts
@@ -6,7 +6,7 @@
 import type { Address, Random } from '../kernel/index.js';
 import { WorkSimulator } from './work-simulator.js';
 
-/** A fault of a target. */
+/** A fault of a target. It lasts until it is replaced by `none`. */
 export type TargetFault =
   | { readonly kind: 'none' }
   /** Each call takes `factor` times as long. */
@@ -15,9 +15,9 @@
   | { readonly kind: 'hang' }
   /** Each call fails at once with status 500. */
   | { readonly kind: 'fail-fast' }
-  /** The target says that it is leaving; with `refuses` it also runs nothing new. */
+  /** The target reports that it is draining; with `refuses` it also rejects new calls. */
   | { readonly kind: 'draining'; readonly refuses: boolean }
-  /** Refuses each call as not run. */
+  /** Rejects each call as not run. */
   | { readonly kind: 'shed' }
   /** Runs the call and resets the connection before it answers. */
   | { readonly kind: 'reset' }
@@ -32,26 +32,26 @@
   ...(['cut', 'wrong-answer'] as const),
 ];
 
-/** What a stand-in target is made from. */
+/** Options of a stand-in target. */
 export interface TargetServerOptions {
   readonly address: Address;
   readonly slots: number;
-  /** Mean service time in milliseconds; single times are spread around it. */
+  /** Mean service time in milliseconds; single times are drawn from a distribution around it. */
   readonly serviceTime: number;
-  /** Calls that wait in the target before it sheds. */
+  /** The number of calls that may wait in the target; it sheds further ones. */
   readonly queueLimit: number;
   readonly random: Random;
-  /** Draws a service time in milliseconds; exponential with the mean unless given. */
+  /** Draws a service time in milliseconds; {@link drawServiceTime} with the mean unless given. */
   readonly drawTime?: (request: IncomingMessage) => number;
 }
 
-/** What happened at a target. */
+/** Counts of what happened at a target. */
 export interface TargetCounts {
   calls: number;
   shed: number;
   probes: number;
   connections: number;
-  /** Calls given up by the entry while they ran. */
+  /** Calls whose connection closed while they ran. */
   cancelled: number;
 }
 
@@ -59,25 +59,27 @@
 export interface TargetServer {
   readonly address: Address;
   readonly counts: Readonly<TargetCounts>;
-  /** How often each idempotency key was run. */
+  /** The number of times that each idempotency key was run. */
   readonly runs: ReadonlyMap<string, number>;
+  /** Sets the fault in force from now on. */
   setFault(fault: TargetFault): void;
+  /** Stops listening and closes every connection. */
   close(): void;
 }
 
-const MIN_SERVICE_TIME_FRACTION = 0.5;
+/** The fixed part of a service time, as a fraction of the mean. */
+const MIN_TIME_FRACTION = 0.5;
 const REPORT_HEADER = 'orchidbeam-report';
 const CALL_HEADER = 'orchidbeam-call';
 
-/** Draws from an exponential distribution above a floor, with the given mean. */
+/**
+ * Draws a service time with the given mean: a fixed floor plus an exponentially distributed part.
+ */
 export function drawServiceTime(mean: number, random: Random): number {
-  return (
-    mean *
-    (MIN_SERVICE_TIME_FRACTION - (1 - MIN_SERVICE_TIME_FRACTION) * Math.log(1 - random.next()))
-  );
+  return mean * (MIN_TIME_FRACTION - (1 - MIN_TIME_FRACTION) * Math.log(1 - random.next()));
 }
 
-/** Starts a stand-in target. */
+/** Starts a stand-in target; rejects if it can't listen on the address. */
 export function startTarget(options: TargetServerOptions): Promise<TargetServer> {
   const { random } = options;
   const counts: TargetCounts = { calls: 0, shed: 0, probes: 0, connections: 0, cancelled: 0 };
@@ -105,7 +107,7 @@
 
   const buildReport = (isNotRun: boolean): string => {
     const state = fault.kind === 'draining' ? 'draining' : 'ready';
-    // The call being answered has left its slot already.
+    // The call that is being answered has released its slot already.
     const report = `state=${state}; in-flight=${running + waiting.length}`;
     return isNotRun ? `not-run; ${report}` : report;
   };
@@ -148,7 +150,7 @@
     response.end(body);
   };
 
-  /** Runs a call in its slot; returns the length of its body. */
+  /** Runs a call in its slot, and returns the length of its body in bytes. */
   async function run(request: IncomingMessage, response: ServerResponse): Promise<number> {
     const bytes = await readBody(request);
     const serviceTime = options.drawTime?.(request) ?? drawServiceTime(options.serviceTime, random);
--- a/src/standin/work-simulator.ts
+++ b/src/standin/work-simulator.ts
@@ -1,22 +1,22 @@
-/** Work that takes time, at a pace that can change while it is under way. */
+/** Simulated work that takes time, at a speed that can change while it is under way. */
 
 interface PendingWork {
-  /** Milliseconds of work left at the ordinary pace, as of `since`. */
+  /** Milliseconds of work left at normal speed, as of `updatedAt`. */
   remaining: number;
   updatedAt: number;
   timer: NodeJS.Timeout;
   readonly resolve: () => void;
 }
 
-/** Runs pieces of work; a slowdown slows also those that are under way. */
+/** Runs pieces of simulated work. A change of the slowdown also affects work that is under way. */
 export class WorkSimulator {
   #slowdown = 1;
 
   readonly #pending = new Set<PendingWork>();
 
   /**
-   * Resolves when `duration` milliseconds of work are done at the pace of each moment, or when
-   * `signal` aborts.
+   * Resolves when `duration` milliseconds of work at normal speed are done, stretched by the
+   * slowdown in force at each moment, or when `signal` aborts.
    */
   run(duration: number, signal: AbortSignal): Promise<void> {
     if (signal.aborted) return Promise.resolve();
@@ -32,7 +32,7 @@
     });
   }
 
-  /** Makes each piece of work take `factor` times as long from now on. */
+  /** Makes each piece of work take `slowdown` times its normal duration from now on. */
   setSlowdown(slowdown: number): void {
     if (slowdown === this.#slowdown) return;
     const now = performance.now();
--- a/test/soak.test.ts
+++ b/test/soak.test.ts
@@ -1,4 +1,7 @@
-/** Each check of the soak is shown to fire by a fault that is planted here, and to be silent without. */
+/**
+ * Feeds each check of the soak observations that break its promise and expects it to fire, and
+ * observations that keep the promise and expects no violation.
+ */
 import http from 'node:http';
 import { expect } from 'chai';
 import { createSeededRandom } from '../src/kernel/index.js';
@@ -18,7 +21,7 @@
   ...{ retryRatio: 0.2, retryWindow: 10_000, retrySlack: 2 },
 };
 
-/** Promises in which no time is counted hold however busy the machine is. */
+/** Promises without a time limit hold however busy the machine is. */
 const UNTIMED_PROMISES: readonly Violation['promise'][] = [
   ...(['own and whole answers', 'true refusals', 'at most once'] as const),
 ];
@@ -37,7 +40,7 @@
     checker.recordOutcome(id, { kind: 'answered', status, body, isSigned: true }, 100);
   const listBrokenPromises = () => checker.listViolations().map(({ promise }) => promise);
 
-  it("fire on another request's answer, and on a part of one", () => {
+  it('report an answer that belongs to another request or is incomplete', () => {
     for (const [id, body] of [
       ['a', composeBody('a')],
       ['b', composeBody('a')],
@@ -48,7 +51,7 @@
     }
     expect(listBrokenPromises()).to.deep.equal(['own and whole answers', 'own and whole answers']);
   });
-  it('fire on a refusal of what ran, unless it may be repeated', () => {
+  it('report a refusal of a request that ran, unless the request is repeatable', () => {
     for (const id of ['a', 'b', 'c']) recordRequest(id, 0, id === 'c');
     recordAnswer('a', 503);
     recordAnswer('b', 503);
@@ -57,7 +60,7 @@
     recordRun('c', 10);
     expect(listBrokenPromises()).to.deep.equal(['true refusals']);
   });
-  it('fire on a request to a target that had said to the daemon that it drains, unless that started anew', () => {
+  it('report a request that a daemon sends to a target after forwarding its draining report, unless the daemon was interrupted since', () => {
     recordRequest('a', 0);
     recordRun('a', 10, 'alpha', true);
     recordAnswer('a', 200);
@@ -69,7 +72,7 @@
     checker.recordInterruption(0, 1000);
     expect(listBrokenPromises()).to.deep.equal([]);
   });
-  it('fire on more than two requests within a back-off', () => {
+  it('report more than two requests from a daemon to a target during a back-off', () => {
     recordRequest('a', 0);
     checker.recordRejection({ id: 'a', target: 'i-1', at: 10, backoff: 3000 });
     for (const [id, at] of [
@@ -85,7 +88,7 @@
     recordRun('e', 2500);
     expect(listBrokenPromises()).to.deep.equal(['back-offs']);
   });
-  it('fire on a second run of what may run once', () => {
+  it('report a second run of a request that may run at most once', () => {
     for (const id of ['a', 'b']) {
       recordRequest(id, 0, id === 'b');
       recordRun(id, 10);
@@ -93,7 +96,7 @@
     }
     expect(listBrokenPromises()).to.deep.equal(['at most once']);
   });
-  it('fire on work for a target that left long ago, but not in an outage', () => {
+  it('report a request to a target that drained long ago, but not during a fault', () => {
     checker.recordDrain('i-1', 10_000);
     recordRequest('a', 12_000);
     recordRun('a', 12_100);
@@ -104,7 +107,7 @@
     checker.recordFault(9000, 12_500);
     expect(listBrokenPromises()).to.deep.equal([]);
   });
-  it('fire on a request that a planned stop cuts', () => {
+  it('report a request that a planned stop cut off', () => {
     recordRequest('before', 900);
     checker.recordStop(0, 1000);
     checker.recordOutcome('before', { kind: 'cut' }, 1500);
@@ -114,7 +117,7 @@
     checker.recordOutcome('elsewhere', { kind: 'left' }, 1500);
     expect(listBrokenPromises()).to.deep.equal(['planned stops']);
   });
-  it('fire on a configuration that is late, or comes back', () => {
+  it('report a run under a configuration that was replaced long ago', () => {
     checker.recordConfiguration('alpha', 0);
     checker.recordConfiguration('beta', 10_000);
     recordRequest('moving-1', 11_900);
@@ -126,13 +129,13 @@
     recordRun('moving-3', 13_010, 'alpha');
     expect(listBrokenPromises()).to.deep.equal(['configuration in force']);
   });
-  it('fire on more probes than agreed', () => {
+  it('report more probes of a target than the settings allow', () => {
     for (let at = 0; at < 5000; at += 101) checker.recordProbe('i-1', at);
     expect(listBrokenPromises()).to.deep.equal([]);
     for (let at = 0; at < 5000; at += 90) checker.recordProbe('i-2', at);
     expect(listBrokenPromises()).to.deep.equal(['probes']);
   });
-  it('fire on more repeats than agreed in some window', () => {
+  it('report more repeats in a window than the settings allow', () => {
     for (let index = 0; index < 100; index += 1) {
       recordRequest(`t${index}`, index * 100);
       recordRun(`t${index}`, index * 100 + 1);
@@ -142,7 +145,7 @@
   });
 });
 
-describe('a link that fails', () => {
+describe('a faulty link', () => {
   const NO_FAULT: LinkFault = { kind: 'none' };
   let server: http.Server;
   let link: Link;
@@ -181,7 +184,7 @@
     [{ kind: 'one-way', lost: 'in' }, 'silence'],
     [{ kind: 'one-way', lost: 'out' }, 'silence'],
   ] as const) {
-    it(`${JSON.stringify(fault)}: a caller sees "${expected}", and is answered once it is over`, async () => {
+    it(`${JSON.stringify(fault)}: a request ends with "${expected}", and is answered after the fault`, async () => {
       link.setFault(fault);
       expect(await sendRequest()).to.equal(expected);
       link.setFault(NO_FAULT);
@@ -193,14 +196,14 @@
 describe('a soak', () => {
   const size = { daemons: 3, targets: 4, duration: 6000 };
 
-  it('has one plan for one seed', () => {
+  it('draws the same plan for the same seed and another one for another seed', () => {
     const draw = (seed: number) =>
       drawPlan(createSeededRandom(seed), { ...size, duration: 60_000 });
     expect(draw(5)).to.deep.equal(draw(5));
     expect(draw(5)).to.not.deep.equal(draw(6));
     expect(new Set(draw(5).map(({ kind }) => kind)).size).to.be.at.least(6);
   });
-  it('of some seconds breaks no promise in which no time is counted', async () => {
+  it('of a few seconds breaks no promise without a time limit', async () => {
     const report = await runSoak({ ...size, seed: 11, callers: 8 });
     expect(report.ends['200']).to.be.at.least(20);
     expect(report.breaks.filter(({ promise }) => UNTIMED_PROMISES.includes(promise))).to.deep.equal(
