--- a/src/soak/caller.ts
+++ b/src/soak/caller.ts
@@ -21,8 +21,8 @@
 const ROUTES = ['safe', 'once', 'moving'] as const;
 
 /**
- * How long an answer of the directory is used, in milliseconds, and a longer time that some answers
- * are used for.
+ * How long an answer of the directory is cached, in milliseconds; with a certain probability, the
+ * longer time applies.
  */
 const ADDRESS_TTL_MS = 5000;
 const LONG_ADDRESS_TTL_MS = 15_000;
--- a/src/soak/plan.ts
+++ b/src/soak/plan.ts
@@ -52,11 +52,13 @@
 
 /** Mean time between two events, in milliseconds; short enough for faults to overlap. */
 const MEAN_GAP_MS = 700;
+
+/** A fault lasts 300 ms and a drawn time of up to this. */
 const MAX_ADDED_DURATION_MS = 4000;
 
 /**
- * The share of draining targets that are late to report it in the store, and the longest delay in
- * milliseconds.
+ * The probability that a draining target reports it to the store later than in its answers, and the
+ * longest delay in milliseconds.
  */
 const LATE_DRAIN_PROBABILITY = 0.5;
 const MAX_DRAIN_DELAY_MS = 8000;
--- a/src/standin/kv-server.ts
+++ b/src/standin/kv-server.ts
@@ -21,15 +21,13 @@
 /** A reply: a status and a body, a reset of the connection, or no reply at all. */
 type Reply = readonly [status: number, body: object] | 'reset' | 'nothing';
 
-/**
- * Items in a page; small, so that tests need several pages. The real store returns some hundreds.
- */
+/** Items in a page; the real store returns some hundreds. */
 const PAGE_ITEMS = 50;
 
 const MAX_WATCH_WAIT_MS = 30_000;
 const MIN_LEASE_TTL_MS = 1000;
 
-/** Keys that only the operators and the targets may write. */
+/** Prefixes of the keys that only the operators and the targets may write. */
 const READ_ONLY_PREFIXES = ['op/', 'servers/'];
 
 const UNAVAILABLE: Reply = [503, {}];
