--- a/src/soak/caller.ts
+++ b/src/soak/caller.ts
@@ -1,85 +1,94 @@
-/** One caller of a soak: asks for addresses, keeps connections, and tells the witness what it saw. */
+/**
+ * One simulated caller of a soak: looks up addresses in the directory, keeps connections alive, and
+ * reports the outcome of each request to the checker.
+ */
 import http from 'node:http';
 import { type Random, pickItem } from '../kernel/index.js';
 import { HOST } from '../standin/index.js';
 import { DAEMON_PORTS } from './daemon-process.js';
-import type { TryEnd, Witness } from './witness.js';
+import type { RequestOutcome, SoakChecker } from './checker.js';
 
-/** What a caller is made from. */
+/** Options of a caller. */
 export interface CallerOptions {
   readonly name: string;
-  /** Addresses of all daemons; a daemon is known by its place. */
+  /** Addresses of all daemons; a daemon is identified by its index in this list. */
   readonly ips: readonly string[];
   readonly random: Random;
-  readonly witness: Witness;
+  readonly checker: SoakChecker;
   readonly now: () => number;
 }
 
 const ROUTES = ['safe', 'once', 'moving'] as const;
 
-/** How long an answer of the directory is kept, and a longer one now and then, in milliseconds. */
-const KEEP = 5000;
-const LONG_KEEP = 15_000;
-const LONG_SHARE = 0.2;
+/**
+ * How long an answer of the directory is cached, in milliseconds; with a certain probability, the
+ * longer time applies.
+ */
+const ADDRESS_TTL_MS = 5000;
+const LONG_ADDRESS_TTL_MS = 15_000;
+const LONG_TTL_PROBABILITY = 0.2;
 
-const DIRECTORY_TIMEOUT = 1000;
-const DEADLINE = 2500;
-/** A caller gives up a little after the time that it told, and some leave long before. */
-const PATIENCE = DEADLINE + 500;
-const LEAVING_SHARE = 0.03;
-const PAUSE = 60;
+const DIRECTORY_TIMEOUT_MS = 1000;
+const DEADLINE_MS = 2500;
+/** A caller gives up a little after the deadline that it sent; some give up long before. */
+const CALLER_TIMEOUT_MS = DEADLINE_MS + 500;
+const EARLY_TIMEOUT_PROBABILITY = 0.03;
+const MEAN_PAUSE_MS = 60;
 
-/** A caller. */
+/** A simulated caller, which sends one request at a time. */
 export class Caller {
   readonly #agent = new http.Agent({ keepAlive: true, maxSockets: 4 });
 
   #addresses: readonly string[] = [];
 
-  #askedAt = -Infinity;
+  #resolvedAt = -Infinity;
 
-  #keep = KEEP;
+  #addressTtl = ADDRESS_TTL_MS;
 
-  #count = 0;
+  #requestCount = 0;
 
   constructor(private readonly options: CallerOptions) {}
 
-  /** Calls until the signal aborts. */
+  /** Sends requests until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const { random } = this.options;
     while (!signal.aborted) {
-      await this.#refresh();
+      await this.#refreshAddresses();
       const ip = pickItem<string | undefined>(this.#addresses, this.options.random);
       if (ip !== undefined) await this.#call(ip);
       await new Promise((resolve) => {
-        setTimeout(resolve, PAUSE * 2 * random.next());
+        setTimeout(resolve, MEAN_PAUSE_MS * 2 * random.next());
       });
     }
     this.#agent.destroy();
   }
 
-  async #refresh(): Promise<void> {
+  async #refreshAddresses(): Promise<void> {
     const { now, ips, random } = this.options;
-    if (now() - this.#askedAt < this.#keep && this.#addresses.length > 0) return;
+    if (now() - this.#resolvedAt < this.#addressTtl && this.#addresses.length > 0) return;
     const ip = pickItem(ips, random);
-    const found = await askDirectory(ip);
-    if (found.length === 0) return;
-    this.#addresses = found;
-    this.#askedAt = now();
-    this.#keep = random.next() < LONG_SHARE ? LONG_KEEP : KEEP;
+    const addresses = await fetchAddresses(ip);
+    if (addresses.length === 0) return;
+    this.#addresses = addresses;
+    this.#resolvedAt = now();
+    this.#addressTtl = random.next() < LONG_TTL_PROBABILITY ? LONG_ADDRESS_TTL_MS : ADDRESS_TTL_MS;
   }
 
   async #call(ip: string): Promise<void> {
-    const { witness, now, random, name, ips } = this.options;
-    this.#count += 1;
+    const { checker, now, random, name, ips } = this.options;
+    this.#requestCount += 1;
     const route = pickItem(ROUTES, random);
-    const id = `${route}-${name}-${this.#count}`;
+    const id = `${route}-${name}-${this.#requestCount}`;
     const isRepeatable = route !== 'once';
-    witness.noteTry({ id, isRepeatable, daemon: ips.indexOf(ip), sentAt: now() });
-    const patience = random.next() < LEAVING_SHARE ? PATIENCE * random.next() : PATIENCE;
-    const end = await this.#send(ip, { id, route, patience });
-    witness.noteEnd(id, end, now());
-    // Whoever is not answered asks anew for addresses.
-    if (end.kind === 'cut' || end.kind === 'not-connected') this.#askedAt = -Infinity;
+    checker.recordRequest({ id, isRepeatable, daemon: ips.indexOf(ip), sentAt: now() });
+    const timeout =
+      random.next() < EARLY_TIMEOUT_PROBABILITY
+        ? CALLER_TIMEOUT_MS * random.next()
+        : CALLER_TIMEOUT_MS;
+    const outcome = await this.#send(ip, { id, route, timeout });
+    checker.recordOutcome(id, outcome, now());
+    // A caller that gets no answer looks up the addresses again.
+    if (outcome.kind === 'cut' || outcome.kind === 'not-connected') this.#resolvedAt = -Infinity;
   }
 
   #send(
@@ -87,14 +96,14 @@
     {
       id,
       route,
-      patience,
-    }: { readonly id: string; readonly route: string; readonly patience: number },
-  ): Promise<TryEnd> {
+      timeout,
+    }: { readonly id: string; readonly route: string; readonly timeout: number },
+  ): Promise<RequestOutcome> {
     const method = route === 'once' ? 'POST' : 'GET';
     const body = route === 'once' ? 'pay' : undefined;
     return new Promise((resolve) => {
-      let isSent = false;
-      const headers = { host: HOST, 'attempt-id': id, 'request-deadline-ms': String(DEADLINE) };
+      let isConnected = false;
+      const headers = { host: HOST, 'attempt-id': id, 'request-deadline-ms': String(DEADLINE_MS) };
       const request = http.request({
         ...{ host: ip, port: DAEMON_PORTS.callers, path: `/${route}/1`, method },
         ...{ agent: this.#agent, headers },
@@ -102,27 +111,27 @@
       const timer = setTimeout(() => {
         resolve({ kind: 'left' });
         request.destroy();
-      }, patience);
-      const conclude = (end: TryEnd) => {
+      }, timeout);
+      const finish = (outcome: RequestOutcome) => {
         clearTimeout(timer);
-        resolve(end);
+        resolve(outcome);
       };
       request.on('socket', (socket) => {
-        if (!socket.connecting) isSent = true;
+        if (!socket.connecting) isConnected = true;
         else
           socket.once('connect', () => {
-            isSent = true;
+            isConnected = true;
           });
       });
-      request.on('error', () => conclude({ kind: isSent ? 'cut' : 'not-connected' }));
+      request.on('error', () => finish({ kind: isConnected ? 'cut' : 'not-connected' }));
       request.on('response', (response) => {
         const chunks: Buffer[] = [];
         response.on('data', (chunk: Buffer) => chunks.push(chunk));
-        response.on('error', () => conclude({ kind: 'cut' }));
+        response.on('error', () => finish({ kind: 'cut' }));
         response.on('close', () => {
-          if (!response.complete) conclude({ kind: 'cut' });
+          if (!response.complete) finish({ kind: 'cut' });
           else
-            conclude({
+            finish({
               ...{ kind: 'answered', status: response.statusCode ?? 0 },
               body: Buffer.concat(chunks).toString('utf8'),
               isSigned: response.headers['server-signature'] !== undefined,
@@ -134,11 +143,11 @@
   }
 }
 
-function askDirectory(ip: string): Promise<readonly string[]> {
+function fetchAddresses(ip: string): Promise<readonly string[]> {
   return new Promise((resolve) => {
     const request = http.get(
       {
-        ...{ host: ip, port: DAEMON_PORTS.directory, agent: false, timeout: DIRECTORY_TIMEOUT },
+        ...{ host: ip, port: DAEMON_PORTS.directory, agent: false, timeout: DIRECTORY_TIMEOUT_MS },
         path: `/resolve?name=${HOST}&region=r1&zone=d1`,
       },
       (response) => {
--- a/src/soak/daemon-process.ts
+++ b/src/soak/daemon-process.ts
@@ -1,10 +1,10 @@
-/** One gateway daemon as a process of its own, started and ended by signals. */
+/** A gateway daemon in a process of its own, controlled by signals. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { writeFile } from 'node:fs/promises';
 import { join } from 'node:path';
 import { type Address, formatAddress } from '../kernel/index.js';
 
-/** Ports that every daemon has on its own loopback address. */
+/** Ports of every daemon; each daemon listens on its own loopback address. */
 export const DAEMON_PORTS = {
   callers: 18_244,
   readiness: 18_240,
@@ -12,22 +12,22 @@
   peers: 18_260,
 };
 
-/** What a daemon is started with. */
-export interface DaemonPlan {
+/** Options of a daemon's process. */
+export interface DaemonOptions {
   readonly ip: string;
   readonly domain: string;
   readonly seeds: readonly string[];
   readonly store: Address;
-  /** The part of a core that it is told to have. */
+  /** The CPU share in its settings, in cores. */
   readonly cores: number;
-  /** Where its settings are written. */
+  /** Directory in which its settings file is written. */
   readonly directory: string;
-  /** The sections that all daemons share, as lines. */
-  readonly promises: readonly string[];
+  /** Lines of the `[promises]` section, shared by all daemons. */
+  readonly promiseSettings: readonly string[];
 }
 
-/** A process that ends without an order is started again after this long. */
-const RESTART_PAUSE = 300;
+/** Delay before a process that ended is started again, in milliseconds. */
+const RESTART_DELAY_MS = 300;
 
 /** The process of one daemon; it is started again whenever it ends, until it is closed. */
 export class DaemonProcess {
@@ -39,12 +39,12 @@
 
   readonly #file: string;
 
-  /** @param onEnd called with the exit code when a process has ended that was not killed */
+  /** @param onExit called with the exit code when the process ends other than by a signal */
   constructor(
-    private readonly plan: DaemonPlan,
-    private readonly onEnd: (code: number) => void,
+    private readonly options: DaemonOptions,
+    private readonly onExit: (code: number) => void,
   ) {
-    this.#file = join(plan.directory, `${plan.ip}.ini`);
+    this.#file = join(options.directory, `${options.ip}.ini`);
   }
 
   /** Whether the process runs and is not frozen. */
@@ -52,7 +52,7 @@
     return this.#child !== undefined && !this.#isFrozen;
   }
 
-  /** The process's number; undefined while none runs. */
+  /** The process id; undefined while no process runs. */
   get pid(): number | undefined {
     return this.#child?.pid;
   }
@@ -63,7 +63,7 @@
     this.start();
   }
 
-  /** Starts the process. */
+  /** Starts the process unless it runs or was closed. */
   start(): void {
     if (this.#isClosed || this.#child !== undefined) return;
     const program = ['target/gateway.cjs', '--settings', this.#file];
@@ -72,21 +72,22 @@
     child.once('exit', (code) => {
       this.#child = undefined;
       this.#isFrozen = false;
-      if (code !== null) this.onEnd(code);
-      setTimeout(() => this.start(), RESTART_PAUSE);
+      if (code !== null) this.onExit(code);
+      setTimeout(() => this.start(), RESTART_DELAY_MS);
     });
   }
 
-  /** Asks it to stop, as the platform does before planned work. */
+  /** Sends SIGTERM, as the platform does before planned maintenance. */
   stop(): void {
     this.#child?.kill('SIGTERM');
   }
 
+  /** Sends SIGKILL. */
   kill(): void {
     this.#child?.kill('SIGKILL');
   }
 
-  /** Makes it stand still for a while. */
+  /** Suspends the process for `time` milliseconds. */
   freeze(time: number): void {
     const child = this.#child;
     if (child === undefined || this.#isFrozen) return;
@@ -98,14 +99,14 @@
     }, time);
   }
 
-  /** Ends it for good. */
+  /** Kills the process and doesn't start it again. */
   close(): void {
     this.#isClosed = true;
     this.kill();
   }
 
   #composeSettings(): string {
-    const { ip, domain, seeds, store, cores, promises } = this.plan;
+    const { ip, domain, seeds, store, cores, promiseSettings } = this.options;
     return [
       ...['[gateway]', `name = vm-${ip}`, `ip = ${ip}`, `domain = ${domain}`, 'region = r1'],
       ...[`callers = ${ip}:${DAEMON_PORTS.callers}`, `readiness = ${ip}:${DAEMON_PORTS.readiness}`],
@@ -113,7 +114,7 @@
       `peer_ports = ${DAEMON_PORTS.peers},${DAEMON_PORTS.peers + 9}`,
       `seeds = ${seeds.map((seed) => `${seed}:1`).join(',')}`,
       ...['[machine]', `cpu_share = ${cores}`, '[platform]', `address = ${formatAddress(store)}`],
-      ...['[promises]', ...promises],
+      ...['[promises]', ...promiseSettings],
     ].join('\n');
   }
 }
--- a/src/soak/link.ts
+++ b/src/soak/link.ts
@@ -1,28 +1,33 @@
-/** A link between two parts: a loopback proxy whose connections can be made to misbehave. */
+/**
+ * A network link to a store or a target: a loopback proxy that can delay, drop or reset its
+ * connections.
+ */
 import net from 'node:net';
 import type { Address } from '../kernel/index.js';
 
-/** What is wrong with a link; `in` is the way to the part behind it, `out` the way back. */
+/** A fault of a link. `in` is the direction to the upstream server, `out` the direction back. */
 export type LinkFault =
   | { readonly kind: 'none' }
+  /** Data is passed on after `time` milliseconds. */
   | { readonly kind: 'delay'; readonly time: number }
-  /** Connections are reset, and new ones at once. */
+  /** Open connections are reset, and new ones on arrival. */
   | { readonly kind: 'reset' }
   /** Connections stay open and carry nothing. */
   | { readonly kind: 'silent' }
+  /** Data in the direction `lost` is dropped. */
   | { readonly kind: 'one-way'; readonly lost: 'in' | 'out' };
 
-/** The proxy before one part. */
+/** The proxy in front of one upstream server. */
 export class Link {
   #fault: LinkFault = { kind: 'none' };
 
   readonly #sockets = new Set<net.Socket>();
 
-  readonly #server = net.createServer({ allowHalfOpen: true }, (near) => this.#join(near));
+  readonly #server = net.createServer({ allowHalfOpen: true }, (client) => this.#connect(client));
 
-  constructor(private readonly behind: Address) {}
+  constructor(private readonly upstream: Address) {}
 
-  /** Starts on a free loopback port. */
+  /** Starts on a free loopback port; rejects if it can't listen. */
   start(): Promise<Address> {
     return new Promise((resolve, reject) => {
       this.#server.once('error', reject);
@@ -33,14 +38,17 @@
     });
   }
 
-  /** Sets what is wrong from now on. Bytes that a silent link swallowed are lost with their connection. */
+  /**
+   * Sets the fault in force. Ending a silent or one-way fault resets the connections, because bytes
+   * that it dropped would be missing from their streams.
+   */
   setFault(fault: LinkFault): void {
     const wasLossy = this.#fault.kind === 'silent' || this.#fault.kind === 'one-way';
     this.#fault = fault;
     if (fault.kind === 'reset' || wasLossy) this.#resetAll();
   }
 
-  /** Closes everything. */
+  /** Stops listening and resets every connection. */
   stop(): void {
     this.#server.close();
     this.#resetAll();
@@ -50,20 +58,20 @@
     for (const socket of this.#sockets) socket.resetAndDestroy();
   }
 
-  #join(near: net.Socket): void {
+  #connect(client: net.Socket): void {
     if (this.#fault.kind === 'reset') {
-      near.resetAndDestroy();
+      client.resetAndDestroy();
       return;
     }
-    const far = net.connect({ ...this.behind, allowHalfOpen: true });
-    this.#pass(near, far, 'in');
-    this.#pass(far, near, 'out');
+    const server = net.connect({ ...this.upstream, allowHalfOpen: true });
+    this.#forward(client, server, 'in');
+    this.#forward(server, client, 'out');
   }
 
-  #pass(from: net.Socket, to: net.Socket, way: 'in' | 'out'): void {
+  #forward(from: net.Socket, to: net.Socket, direction: 'in' | 'out'): void {
     this.#sockets.add(from);
-    from.on('data', (chunk: Buffer) => this.#carry(() => to.write(chunk), way));
-    from.on('end', () => this.#carry(() => to.end(), way));
+    from.on('data', (chunk: Buffer) => this.#applyFault(() => to.write(chunk), direction));
+    from.on('end', () => this.#applyFault(() => to.end(), direction));
     from.on('error', () => to.resetAndDestroy());
     from.on('close', () => {
       this.#sockets.delete(from);
@@ -71,7 +79,7 @@
     });
   }
 
-  #carry(action: () => void, way: 'in' | 'out'): void {
+  #applyFault(action: () => void, direction: 'in' | 'out'): void {
     const fault = this.#fault;
     switch (fault.kind) {
       case 'none':
@@ -84,7 +92,7 @@
       case 'silent':
         return;
       case 'one-way':
-        if (fault.lost !== way) action();
+        if (fault.lost !== direction) action();
         return;
       default:
         fault satisfies never;
--- a/src/soak/run.ts
+++ b/src/soak/run.ts
@@ -1,50 +1,56 @@
-/** A soak: real daemons as processes under calls, while a drawn plan makes everything around them fail. */
+/**
+ * A soak: real daemons run as processes under load, while a drawn plan of faults is applied to the
+ * store, the targets, the links and the daemons.
+ */
 import { mkdtemp, rm } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { createSeededRandom } from '../kernel/index.js';
 import { KEYS } from '../platform/index.js';
-import { KvStandin, SiteTarget, writeConfiguration, writeTarget } from '../standin/index.js';
+import { KvServer, RecordingTarget, writeConfiguration, writeTarget } from '../standin/index.js';
 import { Caller } from './caller.js';
 import { DaemonProcess } from './daemon-process.js';
 import { Link } from './link.js';
 import { type SoakEvent, type SoakSize, drawPlan } from './plan.js';
-import { type Agreement, type Break, Witness, composeBody } from './witness.js';
+import { type PromisedLimits, type Violation, SoakChecker, composeBody } from './checker.js';
 
-/** What a soak is told. */
+/** Options of a soak. */
 export interface SoakOptions extends SoakSize {
   readonly seed: number;
   readonly callers: number;
   readonly onEvent?: (text: string) => void;
 }
 
-/** What a soak found. */
+/** The result of a soak. */
 export interface SoakReport {
   readonly seed: number;
   readonly events: number;
   readonly ends: Readonly<Record<string, number>>;
-  readonly breaks: readonly Break[];
+  readonly breaks: readonly Violation[];
 }
 
-const AGREEMENT: Agreement = {
+const LIMITS: PromisedLimits = {
   ...{ drainTime: 2000, applyTime: 2000, probesPerSecond: 60 },
   ...{ retryRatio: 0.2, retryWindow: 10_000, retrySlack: 20 },
 };
 
-const GRACE = 6;
+const GRACE_S = 6;
 
-/** Every run has loopback addresses of its own, so that several may go on at once. */
-const NETWORK = `127.${10 + (process.pid % 200)}.9`;
-const FIRST_IP = 20;
-const SECOND = 1000;
-const START_TIME = 1500;
-const STARTUP = 1000;
-const LEAST_WORK = 10;
-const MOST_WORK = 80;
+/** Each run has its own range of loopback addresses, so that several may run at once. */
+const LOOPBACK_PREFIX = `127.${10 + (process.pid % 200)}.9`;
+const FIRST_HOST_NUMBER = 20;
+const MS_PER_SECOND = 1000;
+/** Time that the daemons get to start before the callers begin. */
+const DAEMON_START_MS = 1500;
+/** Time that a killed daemon takes to serve again; it counts as a fault. */
+const DAEMON_RESTART_MS = 1000;
+/** Bounds of the time in which a target answers a request. */
+const MIN_WORK_MS = 10;
+const MAX_WORK_MS = 80;
 
-interface Place {
+interface LinkedTarget {
   readonly service: string;
-  target: SiteTarget;
+  target: RecordingTarget;
   link: Link;
 }
 
@@ -54,25 +60,27 @@
 
   readonly #random;
 
-  readonly #witness = new Witness(AGREEMENT);
+  readonly #checker = new SoakChecker(LIMITS);
 
-  readonly #store = new KvStandin();
+  readonly #store = new KvServer();
 
   readonly #storeLinks: Link[] = [];
 
   readonly #daemons: DaemonProcess[] = [];
 
-  /** Seconds for which targets that reject what they get want nothing. */
-  readonly #backoffs = new Map<SiteTarget, number>();
+  /**
+   * The back-off in seconds that a target asks for, for the targets that reject their requests now.
+   */
+  readonly #backoffs = new Map<RecordingTarget, number>();
 
-  readonly #places: Place[] = [];
+  readonly #targets: LinkedTarget[] = [];
 
-  /** Where the daemons' settings are written. */
-  #directory = '';
+  /** The directory of the daemons' settings files. */
+  #settingsDirectory = '';
 
-  #version = 0;
+  #configurationVersion = 0;
 
-  #incarnations = 0;
+  #incarnationCount = 0;
 
   constructor(private readonly options: SoakOptions) {
     this.#random = createSeededRandom(options.seed);
@@ -81,40 +89,43 @@
   readonly #now = () => performance.now() - this.#startedAt;
 
   async run(): Promise<SoakReport> {
-    const { daemons, targets, callers, length } = this.options;
+    const { daemons, targets, callers, duration } = this.options;
     const plan = drawPlan(this.#random, this.options);
-    const ips = Array.from({ length: daemons }, (_, index) => `${NETWORK}.${FIRST_IP + index}`);
-    this.#directory = await mkdtemp(join(tmpdir(), 'orchidbeam-soak-'));
+    const ips = Array.from(
+      { length: daemons },
+      (_, index) => `${LOOPBACK_PREFIX}.${FIRST_HOST_NUMBER + index}`,
+    );
+    this.#settingsDirectory = await mkdtemp(join(tmpdir(), 'orchidbeam-soak-'));
     await this.#store.start();
     this.#configure();
     for (let index = 0; index < targets; index += 1) {
-      this.#places.push(await this.#openPlace(index % 4 === 3 ? 'beta' : 'alpha'));
+      this.#targets.push(await this.#startTarget(index % 4 === 3 ? 'beta' : 'alpha'));
     }
     for (const ip of ips) await this.#startDaemon(ip, ips);
-    await this.#wait(START_TIME);
-    const ends = new AbortController();
-    const calling = Array.from({ length: callers }, (_, index) =>
+    await this.#wait(DAEMON_START_MS);
+    const stopped = new AbortController();
+    const callerRuns = Array.from({ length: callers }, (_, index) =>
       new Caller({
-        ...{ name: `c${index}`, ips, witness: this.#witness, now: this.#now },
+        ...{ name: `c${index}`, ips, checker: this.#checker, now: this.#now },
         random: createSeededRandom(this.options.seed * 1000 + index),
-      }).run(ends.signal),
+      }).run(stopped.signal),
     );
     const startedAt = this.#now();
     for (const event of plan) {
       await this.#wait(startedAt + event.at - this.#now());
       this.options.onEvent?.(JSON.stringify(event));
-      await this.#play(event);
+      await this.#applyEvent(event);
     }
-    await this.#wait(startedAt + length - this.#now());
-    ends.abort();
-    await Promise.all(calling);
+    await this.#wait(startedAt + duration - this.#now());
+    stopped.abort();
+    await Promise.all(callerRuns);
     await this.#close();
-    const breaks = this.#witness.listBreaks();
+    const violations = this.#checker.listViolations();
     return {
       seed: this.options.seed,
       events: plan.length,
-      ends: this.#witness.countEnds(),
-      breaks,
+      ends: this.#checker.countOutcomes(),
+      breaks: violations,
     };
   }
 
@@ -125,34 +136,38 @@
   }
 
   #configure(): void {
-    this.#version += 3;
-    const service = this.#version % 2 === 0 ? 'alpha' : 'beta';
+    this.#configurationVersion += 3;
+    const service = this.#configurationVersion % 2 === 0 ? 'alpha' : 'beta';
     const rules = [
       { prefix: '/safe/' },
       { prefix: '/once/', kind: 'unsafe' as const },
       { prefix: '/moving/', service },
     ];
-    this.#store.put(KEYS.configuration, writeConfiguration(this.#version, rules));
-    this.#witness.noteConfigured(service, this.#now());
+    this.#store.put(KEYS.configuration, writeConfiguration(this.#configurationVersion, rules));
+    this.#checker.recordConfiguration(service, this.#now());
   }
 
-  async #openPlace(service: string): Promise<Place> {
-    this.#incarnations += 1;
-    const target = await new SiteTarget(`i-${this.#incarnations}`).start();
-    target.onProbe = () => this.#witness.noteProbe(target.incarnation, this.#now());
+  async #startTarget(service: string): Promise<LinkedTarget> {
+    this.#incarnationCount += 1;
+    const target = await new RecordingTarget(`i-${this.#incarnationCount}`).start();
+    target.onProbe = () => this.#checker.recordProbe(target.incarnation, this.#now());
     target.behaviour = (request, response) => {
       const id = String(request.headers['attempt-id']);
-      const arrival = { id, target: target.incarnation, at: this.#now() };
+      const observation = { id, target: target.incarnation, at: this.#now() };
       const backoff = this.#backoffs.get(target);
       request.resume();
       if (backoff !== undefined) {
-        this.#witness.noteRejection({ ...arrival, backoff: backoff * SECOND });
+        this.#checker.recordRejection({ ...observation, backoff: backoff * MS_PER_SECOND });
         target.reject(response, String(backoff));
         return;
       }
-      this.#witness.noteRun({ ...arrival, service, saysDraining: target.draining !== undefined });
-      const work = LEAST_WORK + this.#random.next() * (MOST_WORK - LEAST_WORK);
-      setTimeout(() => target.answer(request, response, composeBody(id)), work);
+      this.#checker.recordRun({
+        ...observation,
+        service,
+        saysDraining: target.draining !== undefined,
+      });
+      const serviceTime = MIN_WORK_MS + this.#random.next() * (MAX_WORK_MS - MIN_WORK_MS);
+      setTimeout(() => target.answer(request, response, composeBody(id)), serviceTime);
     };
     const link = new Link(target.address);
     const address = await link.start();
@@ -168,12 +183,12 @@
       {
         ...{ ip, domain: `d${index % 3}`, seeds: ips.slice(0, 3), store: await link.start() },
         cores: 0.5,
-        directory: this.#directory,
-        promises: [
-          ...[`grace = ${GRACE}`, 'answer_ttl = 5', `retry_ratio = ${AGREEMENT.retryRatio}`],
-          ...[`retry_window = ${AGREEMENT.retryWindow / 1000}`],
-          ...[`retry_slack = ${AGREEMENT.retrySlack}`],
-          `probes_per_second = ${AGREEMENT.probesPerSecond}`,
+        directory: this.#settingsDirectory,
+        promiseSettings: [
+          ...[`grace = ${GRACE_S}`, 'answer_ttl = 5', `retry_ratio = ${LIMITS.retryRatio}`],
+          ...[`retry_window = ${LIMITS.retryWindow / 1000}`],
+          ...[`retry_slack = ${LIMITS.retrySlack}`],
+          `probes_per_second = ${LIMITS.probesPerSecond}`,
         ],
       },
       (code) => {
@@ -184,41 +199,41 @@
     await daemon.open();
   }
 
-  async #play(event: SoakEvent): Promise<void> {
+  async #applyEvent(event: SoakEvent): Promise<void> {
     const now = this.#now();
     switch (event.kind) {
       case 'store':
         this.#store.fault = event.fault;
-        this.#heal(event.lasts, () => {
+        this.#scheduleFaultEnd(event.lasts, () => {
           this.#store.fault = { kind: 'none' };
         });
         return;
       case 'store-link': {
         const link = this.#storeLinks[event.daemon];
         link?.setFault(event.fault);
-        this.#heal(event.lasts, () => link?.setFault({ kind: 'none' }));
+        this.#scheduleFaultEnd(event.lasts, () => link?.setFault({ kind: 'none' }));
         return;
       }
       case 'target-link': {
-        const { link } = this.#places[event.target];
+        const { link } = this.#targets[event.target];
         link.setFault(event.fault);
-        this.#heal(event.lasts, () => link.setFault({ kind: 'none' }));
+        this.#scheduleFaultEnd(event.lasts, () => link.setFault({ kind: 'none' }));
         return;
       }
       case 'stop':
         if (!this.#daemons[event.daemon].isRunning) return;
-        this.#witness.noteStop(event.daemon, now);
-        this.#witness.noteInterruption(event.daemon, now);
+        this.#checker.recordStop(event.daemon, now);
+        this.#checker.recordInterruption(event.daemon, now);
         this.#daemons[event.daemon].stop();
         return;
       case 'kill':
-        this.#witness.noteFault(now, now + STARTUP);
-        this.#witness.noteInterruption(event.daemon, now);
+        this.#checker.recordFault(now, now + DAEMON_RESTART_MS);
+        this.#checker.recordInterruption(event.daemon, now);
         this.#daemons[event.daemon].kill();
         return;
       case 'freeze':
-        this.#witness.noteFault(now, now + event.lasts);
-        this.#witness.noteInterruption(event.daemon, now);
+        this.#checker.recordFault(now, now + event.lasts);
+        this.#checker.recordInterruption(event.daemon, now);
         this.#daemons[event.daemon].freeze(event.lasts);
         return;
       case 'configure':
@@ -228,10 +243,10 @@
         this.#store.compact();
         return;
       case 'drain':
-        await this.#drain(event.target, event.toldAfter);
+        await this.#drainTarget(event.target, event.toldAfter);
         return;
       case 'reject': {
-        const { target } = this.#places[event.target];
+        const { target } = this.#targets[event.target];
         this.#backoffs.set(target, Number(event.backoff.toFixed(3)));
         setTimeout(() => this.#backoffs.delete(target), event.lasts);
         return;
@@ -241,49 +256,52 @@
     }
   }
 
-  #heal(lasts: number, end: () => void): void {
+  #scheduleFaultEnd(duration: number, end: () => void): void {
     const now = this.#now();
-    this.#witness.noteFault(now, now + lasts);
-    setTimeout(end, lasts);
+    this.#checker.recordFault(now, now + duration);
+    setTimeout(end, duration);
   }
 
-  /** A target leaves as the users' do: it says so, serves on for a while, and another one comes. */
-  async #drain(index: number, toldAfter: number): Promise<void> {
-    const leaving = this.#places[index];
-    const { service, target, link } = leaving;
-    const entry = KEYS.targets + target.incarnation;
-    const text = this.#store.get(entry);
+  /**
+   * Drains a target as a real one drains: it reports that it is draining, serves on for a while,
+   * and a new target takes its place.
+   */
+  async #drainTarget(index: number, storeDelay: number): Promise<void> {
+    const leavingTarget = this.#targets[index];
+    const { service, target, link } = leavingTarget;
+    const key = KEYS.targets + target.incarnation;
+    const text = this.#store.get(key);
     if (text === undefined) return;
     target.draining = '1';
     target.healthDraining = '1';
     setTimeout(() => {
-      this.#store.put(entry, text.replace('"ready"', '"draining"'));
-      this.#witness.noteDrain(target.incarnation, this.#now());
-    }, toldAfter);
-    this.#places[index] = await this.#openPlace(service);
+      this.#store.put(key, text.replace('"ready"', '"draining"'));
+      this.#checker.recordDrain(target.incarnation, this.#now());
+    }, storeDelay);
+    this.#targets[index] = await this.#startTarget(service);
     setTimeout(
       () => {
-        this.#store.remove(entry);
+        this.#store.remove(key);
         link.stop();
         target.stop();
       },
-      toldAfter + AGREEMENT.drainTime * 2,
+      storeDelay + LIMITS.drainTime * 2,
     );
   }
 
   async #close(): Promise<void> {
     for (const daemon of this.#daemons) daemon.close();
     for (const link of this.#storeLinks) link.stop();
-    for (const { link, target } of this.#places) {
+    for (const { link, target } of this.#targets) {
       link.stop();
       target.stop();
     }
     this.#store.stop();
-    await rm(this.#directory, { recursive: true, force: true });
+    await rm(this.#settingsDirectory, { recursive: true, force: true });
   }
 }
 
-/** Plays one soak. */
+/** Runs one soak and resolves with its result. */
 export function runSoak(options: SoakOptions): Promise<SoakReport> {
   return new Soak(options).run();
 }
--- a/src/standin/site.ts
+++ b/src/standin/site.ts
@@ -1,10 +1,13 @@
-/** A stand-in for the users' targets and what they and the operators keep in the store: builders, and a target that counts. */
+/**
+ * A stand-in for a site: builders for the configuration that its operators store and for the
+ * records that its targets store, and a target that records what it runs.
+ */
 import http, { type IncomingMessage, type ServerResponse } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
 import { type Address, formatAddress } from '../kernel/index.js';
 
 /** One rule of a configuration. */
-export interface RuleDraft {
+export interface RuleOptions {
   readonly prefix: string;
   readonly kind?: 'safe' | 'unsafe' | 'upload';
   readonly service?: string;
@@ -12,23 +15,27 @@
   readonly timeout?: number;
   readonly attempts?: number;
   readonly aim?: number;
-  /** Regions in which its requests may run. */
+  /** Regions in which the rule's requests may run. */
   readonly regions?: unknown;
 }
 
+/** The host name that the configuration serves. */
 export const HOST = 'test.example';
 
-/** What a configuration says of its services besides their names. */
-export interface ServiceDraft {
-  /** Requests a second that a cold target bears; none is named unless given. */
+/** Settings of a configuration's services besides their names. */
+export interface ServiceOptions {
+  /**
+   * The number of requests a second that a cold target accepts; left out of the configuration
+   * unless given.
+   */
   readonly coldRate?: unknown;
 }
 
-/** Writes a configuration as the operator would. */
+/** Composes a configuration as the operators store it. */
 export function writeConfiguration(
   version: number,
-  rules: readonly RuleDraft[],
-  { coldRate }: ServiceDraft = {},
+  rules: readonly RuleOptions[],
+  { coldRate }: ServiceOptions = {},
 ): string {
   const services = ['alpha', 'beta'];
   return JSON.stringify({
@@ -62,20 +69,20 @@
   });
 }
 
-/** What a target's entry says. */
-export interface TargetDraft {
+/** The contents of a target's record in the store. */
+export interface TargetRecordOptions {
   readonly service?: string;
   readonly state?: string;
   readonly domain?: string;
   readonly version?: string;
   readonly seq?: number;
-  /** For how long it is still cold, in milliseconds. */
+  /** How long the target is still cold, in milliseconds. */
   readonly cold?: number;
   readonly born?: number;
 }
 
-/** Writes a target's entry as the target would. */
-export function writeTarget(address: Address, draft: TargetDraft = {}): string {
+/** Composes a target's record as the target stores it. */
+export function writeTarget(address: Address, draft: TargetRecordOptions = {}): string {
   const { service = 'alpha', state = 'ready', domain = 'd1', version = 'v1' } = draft;
   const { seq = 1, cold = 0, born = 0 } = draft;
   return JSON.stringify({
@@ -86,56 +93,69 @@
   });
 }
 
-/** How a stand-in target treats one request. */
+/** How a stand-in target handles one request. */
 export type Behaviour = (request: IncomingMessage, response: ServerResponse) => void;
 
-/** A target that counts what it runs. */
-export class SiteTarget {
+/** A stand-in target that records the requests that it runs. */
+export class RecordingTarget {
   /** Identifiers of the requests that it ran, in order. */
   readonly ran: string[] = [];
 
+  /** Bodies of the requests that it answered itself, in order; a `behaviour` bypasses them. */
   readonly bodies: Buffer[] = [];
 
+  /** Headers of the requests that it ran, in order. */
   readonly seenHeaders: http.IncomingHttpHeaders[] = [];
 
-  /** Requests whose connection closed before they were answered. */
+  /** Identifiers of the requests whose connection closed before they were answered. */
   readonly cancelled: string[] = [];
 
+  /** Number of connections opened to it. */
   connections = 0;
 
-  /** Health checks that it answered. */
+  /** Number of health checks that it answered. */
   probes = 0;
 
+  /** Called on each health check. */
   onProbe: (() => void) | undefined;
 
+  /** The slowdown that it reports in the `Server-Load` header. */
   slowdown = 100;
 
-  /** For how long it says in health answers that it is cold, in milliseconds; says nothing unless set. */
+  /**
+   * How long it is still cold, in milliseconds, as reported in health answers; not reported unless
+   * set.
+   */
   coldLeft: number | undefined;
 
-  /** What it says in answers of the rate that it takes; says nothing unless set. */
-  rate: string | string[] | undefined;
+  /** The rate that it advertises in answers to calls; not advertised unless set. */
+  advertisedRate: string | string[] | undefined;
 
-  /** What it says of draining in answers to calls, and in health answers; says nothing unless set. */
+  /**
+   * Its draining header in answers to calls (`draining`) and in health answers (`healthDraining`);
+   * not sent unless set.
+   */
   draining: string | undefined;
 
   healthDraining: string | undefined;
 
+  /** Handles the requests that it runs, in place of a successful answer. */
   behaviour: Behaviour | undefined;
 
-  /** How often its process has ended and taken all that it ran with it. */
+  /** How often its process has crashed, losing all the requests that it ran. */
   crashes = 0;
 
   readonly #sockets = new Set<Socket>();
 
   readonly #server = http.createServer((request, response) => {
-    this.#take(request, response).catch(() => response.destroy());
+    this.#handleRequest(request, response).catch(() => response.destroy());
   });
 
   address: Address = { host: '127.0.0.1', port: 0 };
 
   constructor(readonly incarnation: string) {}
 
+  /** Starts listening on a free loopback port. */
   async start(): Promise<this> {
     this.#server.on('connection', (socket) => {
       this.connections += 1;
@@ -149,19 +169,20 @@
     return this;
   }
 
+  /** Stops listening and closes every connection. */
   stop(): void {
     this.#server.close();
     for (const socket of this.#sockets) socket.destroy();
   }
 
-  /** Ends as a process does that crashes: its connections are reset, and nobody listens. */
+  /** Ends as a crashing process does: its connections are reset and nothing listens on its port. */
   crash(): void {
     this.crashes += 1;
     this.#server.close();
     for (const socket of this.#sockets) socket.resetAndDestroy();
   }
 
-  /** Starts again at the address that it had, knowing nothing of before. */
+  /** Starts again at the same address, without any state of the former process. */
   async restart(): Promise<void> {
     const { host, port } = this.address;
     await new Promise<void>((resolve) => {
@@ -174,18 +195,18 @@
     return this.#server.listening;
   }
 
-  /** Answers a request well. */
+  /** Answers a request successfully. */
   answer(request: IncomingMessage, response: ServerResponse, body = this.incarnation): void {
     response.writeHead(200, {
       ...{ 'Attempt-Id': request.headers['attempt-id'], 'Server-Signature': 'sig.1' },
       ...{ 'Server-Load': `0,0,4,${this.slowdown}`, 'Content-Length': Buffer.byteLength(body) },
-      ...(this.rate === undefined ? {} : { 'Server-Limit': this.rate }),
+      ...(this.advertisedRate === undefined ? {} : { 'Server-Limit': this.advertisedRate }),
       ...this.#describeDraining(),
     });
     response.end(body);
   }
 
-  /** Answers that it did not run a request, and may ask for some seconds without any. */
+  /** Answers that it did not run a request; `retryAfter` asks for a back-off, in seconds. */
   reject(response: ServerResponse, retryAfter?: string): void {
     response.writeHead(503, {
       ...{ 'Not-Executed': '1', ...this.#describeDraining() },
@@ -198,7 +219,7 @@
     return this.draining === undefined ? {} : { 'Server-Leaving': this.draining };
   }
 
-  async #take(request: IncomingMessage, response: ServerResponse): Promise<void> {
+  async #handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
     if (request.url === '/health') {
       this.probes += 1;
       this.onProbe?.();
--- a/test/backoff.test.ts
+++ b/test/backoff.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import { pause } from '../src/demo/index.js';
 import { Availability } from '../src/balance/index.js';
-import type { SiteTarget } from '../src/standin/index.js';
+import type { RecordingTarget } from '../src/standin/index.js';
 import { type CallerReply, Site, sendTo } from './helpers/gateways.js';
 
 const SECOND_MS = 1000;
@@ -29,12 +29,12 @@
 // some seconds.
 describe('a target that asks for a back-off', () => {
   let site: Site;
-  let target: SiteTarget;
-  let others: SiteTarget[];
+  let target: RecordingTarget;
+  let others: RecordingTarget[];
   let arrivals: number[];
   let ips: string[];
   /** How the target rejects its next requests; it answers well when the list is empty. */
-  let rejections: ((response: Parameters<SiteTarget['reject']>[0]) => void)[];
+  let rejections: ((response: Parameters<RecordingTarget['reject']>[0]) => void)[];
 
   const startSite = async (otherTargets: number, daemons = 1) => {
     site = await new Site().start([{ prefix: '/a/', attempts: 3 }]);
--- a/test/draining.test.ts
+++ b/test/draining.test.ts
@@ -4,7 +4,7 @@
 import { pause } from '../src/demo/index.js';
 import { createSystemClock } from '../src/kernel/index.js';
 import { KEYS } from '../src/platform/index.js';
-import type { SiteTarget } from '../src/standin/index.js';
+import type { RecordingTarget } from '../src/standin/index.js';
 import { waitUntil } from './helpers/fleet.js';
 import { type CallerReply, Site, sendTo } from './helpers/gateways.js';
 import { createTargets, createView } from './helpers/targets.js';
@@ -15,7 +15,7 @@
 const WORK_MS = 10;
 
 /** Makes a target take some time for each request, and records when each arrives. */
-function recordArrivals(target: SiteTarget): readonly number[] {
+function recordArrivals(target: RecordingTarget): readonly number[] {
   const arrivals: number[] = [];
   target.behaviour = (request, response) => {
     arrivals.push(performance.now());
@@ -42,8 +42,8 @@
 // its entry still says that it is ready.
 describe('a target whose responses state that it is draining', () => {
   let site: Site;
-  let target: SiteTarget;
-  let others: SiteTarget[];
+  let target: RecordingTarget;
+  let others: RecordingTarget[];
   let arrivals: readonly number[];
   let ips: string[];
 
@@ -87,7 +87,7 @@
   });
 
   for (const [what, answer] of [
-    ['a rejection', (it: SiteTarget) => (_: unknown, response: never) => it.reject(response)],
+    ['a rejection', (it: RecordingTarget) => (_: unknown, response: never) => it.reject(response)],
     [
       'a failure',
       () => (_: unknown, response: { writeHead(...it: unknown[]): { end(): void } }) =>
@@ -97,7 +97,7 @@
     it(`gets no requests after ${what} that states it`, async () => {
       await startSite(1, 2);
       target.draining = '1';
-      const behave = answer(target) as NonNullable<SiteTarget['behaviour']>;
+      const behave = answer(target) as NonNullable<RecordingTarget['behaviour']>;
       const times: number[] = [];
       target.behaviour = (request, response) => {
         times.push(performance.now());
--- a/test/gateway.test.ts
+++ b/test/gateway.test.ts
@@ -13,7 +13,7 @@
   askDirectory,
   sendTo,
 } from './helpers/gateways.js';
-import { type Behaviour, HOST, type SiteTarget, writeTarget } from '../src/standin/index.js';
+import { type Behaviour, HOST, type RecordingTarget, writeTarget } from '../src/standin/index.js';
 
 const RULES = [
   { prefix: '/a/' },
@@ -24,7 +24,7 @@
 ] as const;
 
 /** Applies a faulty behaviour to only the first request that reaches any of the targets. */
-function breakFirst(targets: readonly SiteTarget[], behaviour: Behaviour): void {
+function breakFirst(targets: readonly RecordingTarget[], behaviour: Behaviour): void {
   let hasFailed = false;
   for (const target of targets) {
     target.behaviour = (request, response) => {
--- a/test/overdue.test.ts
+++ b/test/overdue.test.ts
@@ -23,8 +23,8 @@
 import { DAEMON_PORTS, DaemonProcess } from '../src/soak/daemon-process.js';
 import {
   HOST,
-  KvStandin,
-  SiteTarget,
+  KvServer,
+  RecordingTarget,
   writeConfiguration,
   writeTarget,
 } from '../src/standin/index.js';
@@ -59,9 +59,9 @@
 
 /** Callers, one daemon on a slow machine, and targets with capacity for all calls. */
 class OverloadedSite {
-  readonly store = new KvStandin();
+  readonly store = new KvServer();
 
-  readonly targets: SiteTarget[] = [];
+  readonly targets: RecordingTarget[] = [];
 
   readonly results: CallResult[] = [];
 
@@ -93,7 +93,7 @@
       {
         ...{ ip: IP, domain: 'd1', seeds: [IP], store, directory: this.#directory },
         cores: CPU_SHARE,
-        promises: [
+        promiseSettings: [
           ...['grace = 6', 'answer_ttl = 5', 'retry_ratio = 0.2', 'retry_window = 10'],
           ...['retry_slack = 20', 'probes_per_second = 2'],
         ],
@@ -109,7 +109,7 @@
   }
 
   async #addTarget(name: string): Promise<void> {
-    const target = await new SiteTarget(name).start();
+    const target = await new RecordingTarget(name).start();
     target.behaviour = (request, response) => {
       const leftAt = this.#leftAt.get(String(request.headers['attempt-id']));
       if (leftAt !== undefined) this.delaysAfterLeaving.push(performance.now() - leftAt);
--- a/test/poison.test.ts
+++ b/test/poison.test.ts
@@ -16,7 +16,7 @@
 import { TargetSet } from '../src/gateway/targets/target-set.js';
 import { ManualClock, createSeededRandom } from '../src/kernel/index.js';
 import { KEYS, type TargetRecord } from '../src/platform/index.js';
-import { type Behaviour, type SiteTarget, writeTarget } from '../src/standin/index.js';
+import { type Behaviour, type RecordingTarget, writeTarget } from '../src/standin/index.js';
 import { FleetView } from '../src/view/index.js';
 import { waitUntil } from './helpers/fleet.js';
 import { type CallerReply, Site, sendTo } from './helpers/gateways.js';
@@ -45,7 +45,7 @@
   };
 
   /** Ends a target; after a while it is back under the same name with a later start time. */
-  const crash = (target: SiteTarget) => {
+  const crash = (target: RecordingTarget) => {
     target.crash();
     const bornAt = Date.now();
     schedule(DOWN_TIME_MS, () => {
--- a/test/rate-limit.test.ts
+++ b/test/rate-limit.test.ts
@@ -10,7 +10,7 @@
  */
 import { expect } from 'chai';
 import { pause } from '../src/demo/index.js';
-import type { SiteTarget } from '../src/standin/index.js';
+import type { RecordingTarget } from '../src/standin/index.js';
 import { type CallerReply, Site, sendTo } from './helpers/gateways.js';
 
 const RULES = [{ prefix: '/a/', attempts: 3 }] as const;
@@ -36,7 +36,7 @@
 const WORK_MS = 10;
 
 /** Makes a target take some time for each request, and records when each arrives. */
-function recordArrivals(target: SiteTarget): readonly number[] {
+function recordArrivals(target: RecordingTarget): readonly number[] {
   const arrivals: number[] = [];
   target.behaviour = (request, response) => {
     arrivals.push(performance.now());
@@ -74,7 +74,7 @@
 
 describe('a target that advertises a rate', () => {
   let site: Site;
-  let target: SiteTarget;
+  let target: RecordingTarget;
   let arrivals: readonly number[];
   let ips: readonly string[];
 
@@ -104,7 +104,7 @@
   afterEach(() => site.stop());
 
   describe('among other targets', () => {
-    let others: SiteTarget[];
+    let others: RecordingTarget[];
     beforeEach(async () => {
       others = [await site.addTarget(), await site.addTarget()];
       for (const other of others) recordArrivals(other);
@@ -113,7 +113,7 @@
 
     for (const rate of [0.5, 3.9, 10]) {
       it(`gets ${rate} requests a second from all daemons together`, async () => {
-        target.rate = String(rate);
+        target.advertisedRate = String(rate);
         // Without its rate limit it would get most calls.
         for (const other of others) other.slowdown = 700;
         await sendFor(ips, SECOND_MS);
@@ -133,7 +133,7 @@
           response.writeHead(503, { 'Not-Executed': '1' }).end();
         };
       }
-      target.rate = '4';
+      target.advertisedRate = '4';
       await sendFor(ips, SECOND_MS);
       const since = performance.now();
       const replies = await sendFor(ips, SPAN_MS + SECOND_MS);
@@ -150,7 +150,7 @@
           response.writeHead(503, { 'Not-Executed': '1' }).end();
         };
       }
-      target.rate = '0';
+      target.advertisedRate = '0';
       await sendFor(ips, SECOND_MS);
       const replies = await sendFor(ips, SPAN_MS + SECOND_MS, { pauseTime: 400 });
       const longest = Math.max(...replies.map(({ took }) => took));
@@ -164,7 +164,7 @@
           setTimeout(() => other.answer(request, response), 600);
         };
       }
-      target.rate = '2';
+      target.advertisedRate = '2';
       await sendFor(ips, SECOND_MS);
       const since = performance.now();
       await sendFor(ips, SPAN_MS + SECOND_MS);
@@ -172,7 +172,7 @@
     }).timeout(20_000);
 
     it('gets no more from a daemon that has just started', async () => {
-      target.rate = '3';
+      target.advertisedRate = '3';
       await sendFor(ips, SECOND_MS);
       const started = await site.addGateway([ips[0]]);
       const sending = sendFor([started], SPAN_MS + SECOND_MS);
@@ -183,12 +183,12 @@
     }).timeout(20_000);
 
     it('gets its share again gradually, within two seconds after it advertises no rate any more', async () => {
-      target.rate = '2';
+      target.advertisedRate = '2';
       await sendFor(ips, 2 * SECOND_MS);
       const limited = arrivals.length;
       await sendFor(ips, SECOND_MS);
       expect(arrivals.length - limited, 'while it is limited').to.be.at.most(5);
-      target.rate = undefined;
+      target.advertisedRate = undefined;
       const until = performance.now();
       await sendFor(ips, 4 * SECOND_MS);
       const count = (from: number, to: number) =>
@@ -205,7 +205,7 @@
     beforeEach(() => startDaemons(2));
 
     it('gets requests up to its limit, and others are refused at once', async () => {
-      target.rate = '5';
+      target.advertisedRate = '5';
       await sendFor(ips, SECOND_MS);
       const since = performance.now();
       const replies = await sendFor(ips, SPAN_MS + SECOND_MS);
@@ -234,7 +234,7 @@
         if (count % 10 === 0) target.answer(request, response);
         else response.writeHead(500, { 'Attempt-Id': request.headers['attempt-id'] }).end();
       };
-      target.rate = '2';
+      target.advertisedRate = '2';
       await sendFor(ips, SECOND_MS);
       const since = performance.now();
       await sendFor(ips, 2 * SPAN_MS);
@@ -242,12 +242,12 @@
     }).timeout(20_000);
 
     it('with a rate of 0 gets a request now and then, so that the end of the limit is noticed', async () => {
-      target.rate = '0';
+      target.advertisedRate = '0';
       await sendFor(ips, SECOND_MS);
       const since = performance.now();
       await sendFor(ips, SPAN_MS);
       expect(countMaxArrivals(arrivals, since)).to.be.at.most(computeMaxArrivals(0));
-      target.rate = undefined;
+      target.advertisedRate = undefined;
       await sendFor(ips, 3 * SPAN_MS);
       expect((await sendTo(ips[0])).status).to.equal(200);
     }).timeout(30_000);
@@ -259,7 +259,7 @@
     const values = ['-1', 'NaN', 'Infinity', '0x10', '1e3', '', 'many', ['3', '4']];
     for (const value of values) {
       it(`gets any number of requests: ${JSON.stringify(value)}`, async () => {
-        target.rate = value;
+        target.advertisedRate = value;
         const before = arrivals.length;
         const replies = await sendFor(ips, SECOND_MS);
         expect(arrivals.length - before).to.be.greaterThan(20);
