--- a/src/entry/entry.ts
+++ b/src/entry/entry.ts
@@ -337,7 +337,8 @@
     ];
     for (const task of tasks) task?.catch((error: Error) => this.#failProcess(error));
     const limit = clock.now() + MAX_READY_WAIT_MS;
-    while (!this.follower.hasConfiguration && clock.now() < limit) await clock.sleep(POLL_INTERVAL_MS);
+    while (!this.follower.hasConfiguration && clock.now() < limit)
+      await clock.sleep(POLL_INTERVAL_MS);
   }
 
   /** Logs and rethrows. A task fails only on a violated invariant; the process must not go on. */
