--- a/src/entry/call-handler.ts
+++ b/src/entry/call-handler.ts
@@ -149,23 +149,15 @@
   #findRuntime(request: IncomingMessage): ServiceRuntime | Outcome {
     const { options } = this;
     if (this.#active > options.maxCalls) {
-      return createNotRun(
-        'too-many-calls',
-        'this entry has reached its limit of calls in flight',
-        RETRY_AFTER_MS,
-      );
+      return createNotRun('too-many-calls', 'this entry holds its most calls', RETRY_AFTER_MS);
     }
     if (!options.isConfigured()) {
-      return createNotRun(
-        'no-configuration',
-        'this entry has no configuration yet',
-        RETRY_AFTER_MS,
-      );
+      return createNotRun('no-configuration', 'no configuration is known here yet', RETRY_AFTER_MS);
     }
     const path = (request.url ?? '/').split('?', 1)[0] ?? '/';
     const runtime = options.table.find(request.headers.host ?? '', path);
     if (runtime === undefined) {
-      return createNotRun('unknown-service', 'no service matches this host and path');
+      return createNotRun('unknown-service', 'no service has this host and path');
     }
     return this.#checkFreshness(runtime.service) ?? runtime;
   }
@@ -275,11 +267,11 @@
         return { kind: 'told', outcome: createUnknown('duplicate', detail) };
       }
       case 'mismatch': {
-        const detail = `the idempotency key was already used for ${claim.request}`;
+        const detail = `the idempotency key belongs to ${claim.request}`;
         return { kind: 'told', outcome: createNotRun('key-reused', detail) };
       }
       case 'unproven': {
-        const detail = `cannot guarantee that the call runs at most once: ${claim.reason}`;
+        const detail = `it cannot be shown that the call runs at most once: ${claim.reason}`;
         return { kind: 'told', outcome: createNotRun('claim-unproven', detail, RETRY_AFTER_MS) };
       }
       default:
--- a/src/entry/relay.ts
+++ b/src/entry/relay.ts
@@ -107,6 +107,6 @@
   const mayRepeat = call.repeatable && body.kind === 'none' && clock.now() < deadline;
   if (!sent || mayRepeat) return 'not-reached';
   const reason = result.kind === 'cancelled' ? 'deadline' : 'connection-lost';
-  const detail = 'the entry to which the call was relayed did not answer';
+  const detail = 'the entry that had the call is silent';
   return { kind: 'told', outcome: createUnknown(reason, detail) };
 }
--- a/src/proxy/attempt.ts
+++ b/src/proxy/attempt.ts
@@ -107,7 +107,7 @@
 }
 
 /** Shared instance: capturing a stack trace for each aborted attempt would cost too much. */
-const ABORTED = new AttemptAborted('aborted by the entry');
+const ABORTED = new AttemptAborted('given up by the entry');
 
 function decodeHeaders(raw: Dispatcher.DispatchController['rawHeaders']): FlatHeaders {
   if (!Array.isArray(raw)) return [];
@@ -186,7 +186,7 @@
       return;
     }
     if (!isDelimited(call.method, code, headers)) {
-      const detail = 'only the end of the connection marks the end of the answer';
+      const detail = 'the answer ends with its connection, so its end cannot be told';
       stopWith({ kind: 'lost', reason: 'undelimited-answer', detail });
       return;
     }
--- a/src/proxy/forwarder.ts
+++ b/src/proxy/forwarder.ts
@@ -263,20 +263,20 @@
     if (!sent && !this.#ledger.mayHaveRun) {
       return this.#reportNotRun('deadline', 'the deadline passed before the call was sent', 0);
     }
-    const detail = 'the deadline passed after the call was sent to a target';
+    const detail = 'the deadline passed while a target had the call';
     return { kind: 'told', outcome: createUnknown('deadline', detail) };
   }
 
   #finishFailed(result: AttemptResult): CallEnd {
     if (result.kind === 'not-run' && !this.#ledger.mayHaveRun) {
       const { cause } = result;
-      const detail = cause.kind === 'target-shed' ? 'the targets have no capacity' : cause.detail;
+      const detail = cause.kind === 'target-shed' ? 'targets have no room' : cause.detail;
       return this.#reportNotRun(cause.kind, detail, 1000);
     }
     if (result.kind === 'lost') {
       return { kind: 'told', outcome: createUnknown(result.reason, result.detail) };
     }
-    const detail = 'the call was sent but no complete answer came';
+    const detail = 'an attempt was sent and no whole answer came';
     return { kind: 'told', outcome: createUnknown('connection-lost', detail) };
   }
 
--- a/src/proxy/http-listener.ts
+++ b/src/proxy/http-listener.ts
@@ -102,7 +102,7 @@
   server.on('checkExpectation', serveRequest);
   server.on('connect', (_request: IncomingMessage, socket: Duplex) => {
     options.onRefused('CONNECT');
-    writeRawRefusal(socket, NOT_IMPLEMENTED, 'CONNECT is not supported');
+    writeRawRefusal(socket, NOT_IMPLEMENTED, 'CONNECT is not served');
   });
   const findOpenResponses = (socket: Duplex) =>
     [...openResponses].filter((response) => response.req.socket === socket);
